--- a/crates/core/src/config/compile.rs
+++ b/crates/core/src/config/compile.rs
@@ -13,13 +13,13 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Position of a route in its [`Table`].
+/// Position of a route in its [`RoutingTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RouteKey(pub u32);
 
 /// One version's routes on one proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Table {
+pub struct RoutingTable {
     /// The version that this table belongs to.
     pub version: Version,
     /// Bounds on callers, where a configuration sets them.
@@ -33,14 +33,14 @@
     any_host: Vec<u32>,
 }
 
-impl Table {
+impl RoutingTable {
     /// Compiles the selected configurations.
     ///
     /// # Errors
     ///
     /// Returns the first [`Invalid`] of any configuration, or
     /// [`Invalid::Duplicate`]. A table is made whole or not at all.
-    pub fn compile(version: Version, configs: Vec<Config>) -> Result<Table, Invalid> {
+    pub fn compile(version: Version, configs: Vec<Config>) -> Result<RoutingTable, Invalid> {
         let limits = configs.iter().filter_map(|cfg| cfg.limits).next_back();
         let mut routes = Vec::new();
         let mut organisations: Option<Vec<Organisation>> = None;
@@ -64,11 +64,15 @@
         }
         let routes = routes.into_iter().map(|(_, route)| Arc::new(route)).collect();
         let organisations = organisations.map(|all| Directory::compile(&all)).transpose()?;
-        Ok(Table { organisations, ..Table::indexed(version, limits, routes) })
+        Ok(RoutingTable { organisations, ..RoutingTable::indexed(version, limits, routes) })
     }
 
-    fn indexed(version: Version, limits: Option<CallerLimits>, routes: Vec<Arc<Route>>) -> Table {
-        let mut table = Table { version, limits, routes, ..Table::default() };
+    fn indexed(
+        version: Version,
+        limits: Option<CallerLimits>,
+        routes: Vec<Arc<Route>>,
+    ) -> RoutingTable {
+        let mut table = RoutingTable { version, limits, routes, ..RoutingTable::default() };
         for (i, route) in table.routes.iter().enumerate() {
             let positions = match &route.host {
                 Some(host) => table.by_host.entry(host.clone()).or_default(),
--- a/crates/core/src/config/manifest.rs
+++ b/crates/core/src/config/manifest.rs
@@ -25,7 +25,7 @@
 pub struct Root {
     /// Place in the total order.
     pub version: Version,
-    /// Pages of [`Entry`], by bucket of the configuration's id.
+    /// Pages of [`ConfigEntry`], by bucket of the configuration's id.
     pub configs: [ObjectHash; BUCKETS],
     /// Pages of label sets, by bucket of the host's name.
     pub labels: [ObjectHash; BUCKETS],
@@ -35,7 +35,7 @@
 
 /// One configuration in a page.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ConfigEntry {
     /// The configuration's id.
     pub id: String,
     /// Its labels, so that selection needs no further fetch.
@@ -47,7 +47,7 @@
 }
 
 /// A page of configurations.
-pub type ConfigPage = BTreeMap<String, Entry>;
+pub type ConfigPage = BTreeMap<String, ConfigEntry>;
 /// A page of label sets, by host name.
 pub type LabelPage = BTreeMap<String, Labels>;
 /// The page of selectors, by name.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Manifest {
     /// Configurations by id.
-    pub configs: BTreeMap<String, Entry>,
+    pub configs: BTreeMap<String, ConfigEntry>,
     /// Label sets by host name.
     pub labels: BTreeMap<String, Labels>,
     /// Selectors by name.
@@ -83,7 +83,7 @@
     }
 
     /// Returns the ids of the configurations that reach a proxy.
-    pub fn selected(&self, proxy: &Proxy) -> Vec<&Entry> {
+    pub fn selected(&self, proxy: &Proxy) -> Vec<&ConfigEntry> {
         let proxy = proxy.with_labels(self.labels.get(&proxy.host));
         self.configs
             .values()
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -18,7 +18,7 @@
 pub mod select;
 
 pub use organisation::Organisation;
-pub use route::{CallerLimits, Kind, Part, Priority, Route};
+pub use route::{CallerLimits, Part, Priority, Route, RouteKind};
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -40,7 +40,7 @@
     pub repeatable: Vec<String>,
     /// What may be sent again whatever the method; goes before `repeatable`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kind: Option<Kind>,
+    pub kind: Option<RouteKind>,
     /// Which calls go first under shortage.
     #[serde(default)]
     pub priority: Priority,
@@ -65,7 +65,7 @@
 /// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum RouteKind {
     /// May be sent again after an unknown outcome.
     Idempotent,
     /// Runs at most once.
@@ -167,8 +167,8 @@
     /// Returns whether a call may run more than once.
     pub fn may_repeat(&self, method: &str) -> bool {
         match self.kind {
-            Some(Kind::Idempotent | Kind::Download) => true,
-            Some(Kind::NonIdempotent) => false,
+            Some(RouteKind::Idempotent | RouteKind::Download) => true,
+            Some(RouteKind::NonIdempotent) => false,
             None => self.repeatable.iter().any(|repeatable| repeatable == method),
         }
     }
--- a/crates/core/src/config/select.rs
+++ b/crates/core/src/config/select.rs
@@ -34,11 +34,11 @@
 impl Selector {
     /// Returns whether this selector pairs a configuration with a proxy.
     pub fn selects(&self, config_labels: &Labels, proxy: &Proxy) -> bool {
-        has_all(config_labels, &self.configs) && self.reaches(proxy)
+        has_all(config_labels, &self.configs) && self.matches_proxy(proxy)
     }
 
     /// Returns whether the proxy's side of this selector fits.
-    pub fn reaches(&self, proxy: &Proxy) -> bool {
+    pub fn matches_proxy(&self, proxy: &Proxy) -> bool {
         let domain = self.domains.is_empty() || self.domains.contains(&proxy.domain);
         let service = self.services.is_empty()
             || self.services.iter().any(|name| proxy.services.contains(name));
--- a/crates/core/src/delivery/head.rs
+++ b/crates/core/src/delivery/head.rs
@@ -6,7 +6,7 @@
 //! whose answer was lost reads the head again and finds there whether it took
 //! effect.
 
-use crate::config::manifest::{Entry, Manifest};
+use crate::config::manifest::{ConfigEntry, Manifest};
 use crate::config::{Labels, Selector};
 use crate::ids::{ObjectHash, Version};
 use serde::{Deserialize, Serialize};
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Puts a configuration in place of any with its id.
-    Accept(Entry),
+    Accept(ConfigEntry),
     /// Takes a configuration away.
     Withdraw(String),
     /// Puts a selector in place of any with its name.
--- a/crates/core/src/delivery/stage.rs
+++ b/crates/core/src/delivery/stage.rs
@@ -6,8 +6,8 @@
 //! fetch that fails half-way leaves no half version behind.
 
 use super::store::Store;
-use crate::config::compile::Table;
-use crate::config::manifest::{self, ConfigPage, Entry, LabelPage, Root, SelectorPage};
+use crate::config::compile::RoutingTable;
+use crate::config::manifest::{self, ConfigEntry, ConfigPage, LabelPage, Root, SelectorPage};
 use crate::config::select::Proxy;
 use crate::config::{Config, Invalid, MAX_CONFIG_BYTES};
 use crate::ids::{ObjectHash, Version};
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Staged {
     /// The compiled routes.
-    pub table: Table,
+    pub table: RoutingTable,
     /// Ids of the selected configurations.
     pub selected: Vec<String>,
     /// Every object of the version that is held, to keep while it matters.
@@ -114,13 +114,13 @@
     }
     let configs =
         chosen.iter().map(|entry| read_config(store, entry)).collect::<Result<Vec<_>, _>>()?;
-    let table = Table::compile(version, configs).map_err(Bad::Invalid)?;
+    let table = RoutingTable::compile(version, configs).map_err(Bad::Invalid)?;
     let objects = pages.into_iter().chain(wanted).chain([root_hash]).collect();
     let selected = chosen.iter().map(|entry| entry.id.clone()).collect();
     Ok(Next::Ready(Box::new(Staged { table, selected, objects })))
 }
 
-fn read_entries(store: &Store, root: &Root) -> Result<Vec<Entry>, Bad> {
+fn read_entries(store: &Store, root: &Root) -> Result<Vec<ConfigEntry>, Bad> {
     let mut entries = Vec::new();
     for hash in root.configs {
         let page: ConfigPage = read(store, hash)?;
@@ -133,12 +133,12 @@
     store: &Store,
     root: &Root,
     proxy: &Proxy,
-    entries: &'a [Entry],
-) -> Result<Vec<&'a Entry>, Bad> {
+    entries: &'a [ConfigEntry],
+) -> Result<Vec<&'a ConfigEntry>, Bad> {
     let labels: LabelPage = read(store, root.label_page(&proxy.host))?;
     let selectors: SelectorPage = read(store, root.selectors)?;
     let proxy = proxy.with_labels(labels.get(&proxy.host));
-    let reaching: Vec<_> = selectors.values().filter(|s| s.reaches(&proxy)).collect();
+    let reaching: Vec<_> = selectors.values().filter(|s| s.matches_proxy(&proxy)).collect();
     let chosen = entries
         .iter()
         .filter(|entry| reaching.iter().any(|s| s.selects(&entry.labels, &proxy)))
@@ -146,11 +146,11 @@
     Ok(chosen)
 }
 
-fn check_all(store: &Store, entries: &[Entry]) -> Result<(), Bad> {
+fn check_all(store: &Store, entries: &[ConfigEntry]) -> Result<(), Bad> {
     entries.iter().try_for_each(|entry| read_config(store, entry).map(drop))
 }
 
-fn read_config(store: &Store, entry: &Entry) -> Result<Config, Bad> {
+fn read_config(store: &Store, entry: &ConfigEntry) -> Result<Config, Bad> {
     let buf = store.get(entry.hash).ok_or(Bad::Unreadable(entry.hash))?;
     Config::parse(&buf).map_err(Bad::Invalid)
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -104,12 +104,12 @@
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Debug, Default,
 )]
-pub struct StartKey(pub u64);
+pub struct IncarnationKey(pub u64);
 
-impl StartKey {
+impl IncarnationKey {
     /// Returns the key of the start with this name in the mesh.
-    pub fn of(name: &str) -> StartKey {
-        StartKey(hash64(name))
+    pub fn of(name: &str) -> IncarnationKey {
+        IncarnationKey(hash64(name))
     }
 }
 
--- a/crates/core/src/request/suspects/mod.rs
+++ b/crates/core/src/request/suspects/mod.rs
@@ -38,7 +38,7 @@
 pub use self::review::{Review, SETTLE, TRIAL_AFTER};
 use self::row::{Row, unite};
 use crate::delivery::tree::mix;
-use crate::ids::{CallDigest, StartKey};
+use crate::ids::{CallDigest, IncarnationKey};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -87,9 +87,9 @@
     /// The call.
     pub call: CallDigest,
     /// Starts of upstreams that ended under it, in order.
-    pub ended: Vec<StartKey>,
+    pub ended: Vec<IncarnationKey>,
     /// Those that do not speak against it any more, in order.
-    pub cleared: Vec<StartKey>,
+    pub cleared: Vec<IncarnationKey>,
     /// Milliseconds until the last end is old enough.
     pub left_ms: u32,
 }
@@ -119,7 +119,12 @@
 
 impl Suspects {
     /// Takes in that an upstream ended with these calls at it; returns what is news.
-    pub fn ended(&mut self, start: StartKey, calls: &[CallDigest], now: Instant) -> Vec<Suspicion> {
+    pub fn ended(
+        &mut self,
+        start: IncarnationKey,
+        calls: &[CallDigest],
+        now: Instant,
+    ) -> Vec<Suspicion> {
         let mut news = Vec::new();
         for call in calls {
             if self.ran_well_lately(*call, now) {
@@ -204,7 +209,7 @@
 
     /// Returns a number that is the same for daemons that know the same.
     pub fn summary(&self, now: Instant) -> u64 {
-        let starts = |starts: &[StartKey], salt: u64| {
+        let starts = |starts: &[IncarnationKey], salt: u64| {
             starts.iter().fold(salt, |acc, start| mix(acc ^ start.0))
         };
         self.told_rows(now).fold(0, |acc, (call, row)| {
--- a/crates/core/src/request/suspects/row.rs
+++ b/crates/core/src/request/suspects/row.rs
@@ -1,14 +1,14 @@
 //! What a daemon knows against one call.
 
 use super::{ENDS_KEPT, ENDS_TO_JUDGE, Suspicion};
-use crate::ids::{CallDigest, StartKey};
+use crate::ids::{CallDigest, IncarnationKey};
 use std::time::Instant;
 
 /// The ends under one call, and what became of them.
 #[derive(Clone, Debug)]
 pub(super) struct Row {
-    pub ended: Vec<StartKey>,
-    pub cleared: Vec<StartKey>,
+    pub ended: Vec<IncarnationKey>,
+    pub cleared: Vec<IncarnationKey>,
     /// When the last end is [`QUARANTINE`] old.
     pub until: Instant,
     /// When this daemon last came to know of one more end.
@@ -39,11 +39,11 @@
     }
 
     /// Returns the ends that speak against the call.
-    pub fn against(&self) -> impl Iterator<Item = &StartKey> {
+    pub fn against(&self) -> impl Iterator<Item = &IncarnationKey> {
         self.ended.iter().filter(|start| !self.cleared.contains(start))
     }
 
-    pub fn is_against(&self, start: StartKey) -> bool {
+    pub fn is_against(&self, start: IncarnationKey) -> bool {
         self.ended.contains(&start) && !self.cleared.contains(&start)
     }
 
@@ -72,7 +72,7 @@
 }
 
 /// Adds starts to a list in order, as many as are kept; returns whether it changed.
-pub(super) fn unite(own: &mut Vec<StartKey>, others: &[StartKey]) -> bool {
+pub(super) fn unite(own: &mut Vec<IncarnationKey>, others: &[IncarnationKey]) -> bool {
     let before = own.clone();
     own.extend_from_slice(others);
     own.sort_unstable();
--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -1,14 +1,14 @@
 //! Organisations in a configuration: checks, and whose key it is.
 
-use cicadashift_core::config::compile::Table;
+use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::config::{Config, Priority};
 
-fn compile(organisations: &str) -> Result<Table, String> {
+fn compile(organisations: &str) -> Result<RoutingTable, String> {
     let text = format!(
         r#"{{"id": "c", "routes": [{{"service": "s"}}], "organisations": {organisations}}}"#
     );
     let cfg = Config::parse(text.as_bytes()).map_err(|err| err.to_string())?;
-    Table::compile(1, vec![cfg]).map_err(|err| err.to_string())
+    RoutingTable::compile(1, vec![cfg]).map_err(|err| err.to_string())
 }
 
 #[test]
@@ -48,7 +48,7 @@
     let shared = compile(
         r#"[{"name": "town", "keys": ["secret-word"]}, {"name": "b", "keys": ["secret-word"]}]"#,
     );
-    let table = Table::compile(1, vec![cfg.clone()]);
+    let table = RoutingTable::compile(1, vec![cfg.clone()]);
     let printed = format!("{cfg:?} {table:?} {shared:?}");
     assert!(!printed.contains("secret-word"), "{printed}");
 }
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -1,6 +1,6 @@
 //! What holds for every order of events.
 
-use cicadashift_core::config::compile::Table as Routes;
+use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::config::delta::Delta;
 use cicadashift_core::config::{Config, Priority, Selector};
 use cicadashift_core::delivery::tree;
@@ -276,7 +276,7 @@
             .collect();
         let text = serde_json::json!({"id": "c", "routes": rows}).to_string();
         let Ok(cfg) = Config::parse(text.as_bytes()) else { return Ok(()) };
-        let table = Routes::compile(1, vec![cfg]).expect("all differ");
+        let table = RoutingTable::compile(1, vec![cfg]).expect("all differ");
         let is_under = |prefix: &str| {
             path.strip_prefix(prefix).is_some_and(|rest| {
                 prefix.ends_with('/') || rest.is_empty() || rest.starts_with('/')
--- a/crates/core/tests/suspects.rs
+++ b/crates/core/tests/suspects.rs
@@ -1,7 +1,7 @@
 //! Which calls are quarantined, decided alone, and by daemons that tell each other late,
 //! twice or in another order.
 
-use cicadashift_core::ids::{CallDigest, StartKey};
+use cicadashift_core::ids::{CallDigest, IncarnationKey};
 use cicadashift_core::request::suspects::{
     MOST_SUSPECTED, QUARANTINE, Standing, Suspects, Suspicion,
 };
@@ -14,8 +14,8 @@
     Duration::from_millis(ms)
 }
 
-fn start(n: u64) -> StartKey {
-    StartKey(n)
+fn start(n: u64) -> IncarnationKey {
+    IncarnationKey(n)
 }
 
 fn is_quarantined(suspects: &Suspects, call: CallDigest, now: Instant) -> bool {
--- a/crates/core/tests/verdicts.rs
+++ b/crates/core/tests/verdicts.rs
@@ -4,7 +4,7 @@
 //! them, brought again and again by their callers, beside one innocent call that comes at
 //! a steady rate. News take up to 40 ms, and trials are made one at a time.
 
-use cicadashift_core::ids::{CallDigest, StartKey};
+use cicadashift_core::ids::{CallDigest, IncarnationKey};
 use cicadashift_core::request::suspects::{Review, Standing, Suspects, Suspicion};
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -135,7 +135,7 @@
             let all: Vec<Run> = over.into_iter().chain(on).collect();
             self.is_trying &= !all.iter().any(|run| run.is_trial);
             let calls: Vec<CallDigest> = all.iter().map(|run| run.call).collect();
-            let start = StartKey(self.upstreams[i].start);
+            let start = IncarnationKey(self.upstreams[i].start);
             let news = self.daemons[i % DAEMONS].ended(start, &calls, self.now);
             self.tell(news);
             self.starts += 1;
--- a/src/daemon/quarantine.rs
+++ b/src/daemon/quarantine.rs
@@ -10,7 +10,7 @@
 
 use super::{Daemon, datagrams, lock, peers};
 use crate::store::{Platform, PlatformError, Swap, keys};
-use cicadashift_core::ids::{CallDigest, StartKey};
+use cicadashift_core::ids::{CallDigest, IncarnationKey};
 use cicadashift_core::membership::gossip::Queue;
 use cicadashift_core::request::suspects::{Review, Standing, Suspects, Suspicion};
 use cicadashift_http::exec;
@@ -106,7 +106,7 @@
 /// Takes in that an upstream ended with these calls at it.
 pub fn ended(d: &Arc<Daemon>, upstream: &str, calls: &[CallDigest]) {
     let now = d.clock.now();
-    let news = lock(&d.quarantine.suspects).ended(StartKey::of(upstream), calls, now);
+    let news = lock(&d.quarantine.suspects).ended(IncarnationKey::of(upstream), calls, now);
     take_in(d, news);
 }
 
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -11,7 +11,7 @@
 use crate::daemon::Daemon;
 use crate::daemon::source::CALLER_IDLE_MOST;
 use cicadashift_core::config::Route;
-use cicadashift_core::config::compile::Table;
+use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::config::organisation::Account;
 use cicadashift_core::request::gate::KindKey;
 use cicadashift_core::request::retry::MAX_ATTEMPTS;
@@ -306,7 +306,7 @@
     }
 }
 
-fn find_route(table: &Table, head: &Parts) -> Option<Arc<Route>> {
+fn find_route(table: &RoutingTable, head: &Parts) -> Option<Arc<Route>> {
     let host = head.uri.host().or_else(|| headers::text(&head.headers, header::HOST.as_str()));
     let key = table.find(host, head.uri.path(), head.method.as_str())?;
     table.route(key).cloned()
--- a/src/daemon/request/sender.rs
+++ b/src/daemon/request/sender.rs
@@ -1,7 +1,7 @@
 //! Which organisation sends a request, by its key.
 
 use cicadashift_core::config::Route;
-use cicadashift_core::config::compile::Table;
+use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::config::organisation::Account;
 use cicadashift_http::hyper::header::{self, HeaderMap, HeaderName};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 /// Where the configuration names no organisations, `Authorization` is the business of
 /// callers and upstreams and is passed on.
 pub fn identify(
-    table: &Table,
+    table: &RoutingTable,
     route: &Route,
     head: &mut HeaderMap,
     organisation: &HeaderName,
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -15,7 +15,7 @@
 use crate::store::{Change, ClientWatch, Pair, Platform, PlatformError, Revision, Watch};
 use bytes::Bytes;
 use cicadashift_core::config::Invalid;
-use cicadashift_core::config::compile::Table;
+use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::ids::{HostKey, Version};
 use cicadashift_edge::interface::{Document, Interface, Malformed};
 use cicadashift_wire::rpc::{Request as Ask, Response, Update, UpdateBody};
@@ -441,7 +441,7 @@
         .filter(|cfg| document.selectors.iter().any(|s| s.selects(&cfg.labels, &proxy)))
         .collect();
     let names = selected.iter().map(|cfg| cfg.id.clone()).collect();
-    let table = Table::compile(document.version, selected).map_err(SourceError::Invalid)?;
+    let table = RoutingTable::compile(document.version, selected).map_err(SourceError::Invalid)?;
     Ok(Running {
         table,
         selected: names,
--- a/src/daemon/versions.rs
+++ b/src/daemon/versions.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::settings::Settings;
 use bytes::Bytes;
-use cicadashift_core::config::compile::Table;
+use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::config::manifest::{self, Root};
 use cicadashift_core::delivery::node::{Action, Event, Guards, Node};
 use cicadashift_core::delivery::stage::{self, Bad, Next, Scope, Staged};
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub struct Running {
     /// Its routes; empty at version zero.
-    pub table: Table,
+    pub table: RoutingTable,
     /// Ids of the configurations in it.
     pub selected: Vec<String>,
     /// Paths by which upstreams tell how they are, by service.
--- a/src/operator/change.rs
+++ b/src/operator/change.rs
@@ -4,7 +4,7 @@
 use crate::daemon::reader::Roster;
 use crate::store::{Platform, PlatformError, Revision, Swap, keys};
 use cicadashift_core::config::manifest::{
-    self, ConfigPage, Entry, LabelPage, Manifest, Object, Root, SelectorPage,
+    self, ConfigEntry, ConfigPage, LabelPage, Manifest, Object, Root, SelectorPage,
 };
 use cicadashift_core::config::{Config, Invalid};
 use cicadashift_core::delivery::head::{Head, Operation, Settled, settle};
@@ -99,8 +99,12 @@
     // so that the same configuration is the same object.
     let buf = serde_json::to_vec(&cfg).map_err(|err| Invalid::Json(err.to_string()))?;
     let hash = ObjectHash::of(&buf);
-    let entry =
-        Entry { id: cfg.id.clone(), labels: cfg.labels.clone(), hash, bytes: buf.len() as u64 };
+    let entry = ConfigEntry {
+        id: cfg.id.clone(),
+        labels: cfg.labels.clone(),
+        hash,
+        bytes: buf.len() as u64,
+    };
     Ok((Operation::Accept(entry), cfg, (hash, buf)))
 }
 
--- a/src/operator/plan.rs
+++ b/src/operator/plan.rs
@@ -55,7 +55,7 @@
 }
 
 fn ids<'a>(
-    entries: impl Iterator<Item = &'a &'a cicadashift_core::config::manifest::Entry>,
+    entries: impl Iterator<Item = &'a &'a cicadashift_core::config::manifest::ConfigEntry>,
 ) -> Vec<String> {
     entries.map(|entry| entry.id.clone()).collect()
 }
--- a/tests/credentials.rs
+++ b/tests/credentials.rs
@@ -2,7 +2,7 @@
 
 use cicadashift::daemon::request::sender::{Sender, identify};
 use cicadashift_core::config::Config;
-use cicadashift_core::config::compile::Table;
+use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_http::hyper::header::{AUTHORIZATION, HeaderMap, HeaderName, HeaderValue};
 
 const MUTATIONS: usize = 20_000;
@@ -10,17 +10,17 @@
 const KEY: &str = "key-of-town";
 const TOLD: HeaderName = HeaderName::from_static("x-organisation");
 
-fn table() -> Table {
+fn table() -> RoutingTable {
     let text = format!(
         r#"{{"id": "c", "routes": [{{"service": "s", "prefix": "/"}}],
             "organisations": [{{"name": "town", "keys": ["{KEY}"]}}]}}"#
     );
     let cfg = Config::parse(text.as_bytes()).expect("it is good");
-    Table::compile(1, vec![cfg]).expect("it is good")
+    RoutingTable::compile(1, vec![cfg]).expect("it is good")
 }
 
 /// Returns whether the sender is known; asserts that nothing of the credentials is left.
-fn is_known(table: &Table, values: &[HeaderValue]) -> bool {
+fn is_known(table: &RoutingTable, values: &[HeaderValue]) -> bool {
     let route = table.find(None, "/", "GET").and_then(|key| table.route(key)).expect("a route");
     let mut head = HeaderMap::new();
     head.insert(TOLD, HeaderValue::from_static("town"));
