--- a/crates/core/src/rollout/account.rs
+++ b/crates/core/src/rollout/account.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Account {
     /// Calls that reached the service, as far as they were reported to deciders before.
-    pub seen_before: u64,
+    pub calls_before: u64,
     /// Calls granted to canaries by all deciders, as the store knows.
     pub granted: u64,
     /// Of these, granted by deciders before.
@@ -35,19 +35,19 @@
 impl Account {
     /// Takes over what deciders before granted.
     pub fn taken_over(seen: u64, granted: u64) -> Account {
-        Account { seen_before: seen, granted, granted_before: granted }
+        Account { calls_before: seen, granted, granted_before: granted }
     }
 
     /// Takes over where nobody knows what deciders before granted: as if it were all that
     /// there ever will be to grant.
-    pub fn unknown() -> Account {
-        Account { seen_before: 0, granted: u64::MAX, granted_before: u64::MAX }
+    pub fn with_unknown_grants() -> Account {
+        Account { calls_before: 0, granted: u64::MAX, granted_before: u64::MAX }
     }
 
     /// Returns how many calls may be granted in all, where `seen` were reported to this
     /// decider.
     pub fn allowed(&self, bounds: Bounds, seen: u64) -> u64 {
-        let all = (self.seen_before + seen) as f64;
+        let all = (self.calls_before + seen) as f64;
         (bounds.share * SHARE_GRANTED * all + bounds.slack * SLACK_GRANTED) as u64
     }
 
--- a/crates/core/src/rollout/decide.rs
+++ b/crates/core/src/rollout/decide.rs
@@ -1,7 +1,7 @@
 //! The side of the daemon that decides on a rollout.
 //!
 //! It takes in reports, and says what it wishes to write to the store next: a phase, or a
-//! larger grant. Only when that is written does it hold here, see [`Decider::written`].
+//! larger grant. Only when that is written does it hold here, see [`Decider::apply`].
 //!
 //! # When to cut over
 //!
@@ -48,7 +48,7 @@
 
 /// What the decider wants written.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
+pub enum Proposal {
     /// The next phase, and why.
     Phase(Phase, Why),
     /// A larger grant.
@@ -149,11 +149,11 @@
 
     /// Returns what was granted and seen, for the store.
     pub fn account(&self) -> Account {
-        Account { seen_before: self.account.seen_before + self.calls_seen(), ..self.account }
+        Account { calls_before: self.account.calls_before + self.calls_seen(), ..self.account }
     }
 
     /// Takes a report in; returns what its upstreams may be sent.
-    pub fn report(&mut self, report: Report, now: Instant) -> Quotas {
+    pub fn handle_report(&mut self, report: Report, now: Instant) -> Quotas {
         let counts = report.epoch == self.epoch;
         let mut quotas = Quotas::default();
         for told in report.upstreams {
@@ -220,61 +220,66 @@
 
     /// Says what is to be written next. `old` are the upstreams of other versions on
     /// hosts that are believed to run.
-    pub fn wish(&mut self, old: &[String], now: Instant) -> Option<Wish> {
+    pub fn propose(&mut self, old: &[String], now: Instant) -> Option<Proposal> {
         let phase = self.phase.clone();
         let age = now.saturating_duration_since(self.began);
         match phase {
-            Some(phase) if phase.is_end() => return None,
+            Some(phase) if phase.is_final() => return None,
             Some(_) => {
                 if let Some(evidence) = self.verdict(now) {
                     self.is_worse = true;
-                    return Some(Wish::Phase(Phase::RolledBack, Why::Worse(evidence)));
+                    return Some(Proposal::Phase(Phase::RolledBack, Why::Worse(evidence)));
                 }
             }
             None => {}
         }
         if let Some(phase) = self.phase.clone().filter(|_| self.is_untold) {
-            return Some(Wish::Phase(phase, Why::TakenOver));
+            return Some(Proposal::Phase(phase, Why::TakenOver));
         }
         match phase {
-            None => Some(Wish::Phase(self.canaries(&[], now), Why::Canaries)),
-            Some(Phase::Canary { upstreams, .. }) => self.wish_of_canary(&upstreams, age, now),
+            None => Some(Proposal::Phase(self.canaries(&[], now), Why::Canaries)),
+            Some(Phase::Canary { upstreams, .. }) => self.propose_in_canary(&upstreams, age, now),
             Some(Phase::Cutover) if age >= self.order.duration => {
-                Some(Wish::Phase(Phase::RolledBack, Why::NoTime))
-            }
-            Some(Phase::Cutover) => {
-                self.are_emptied(old, now).then_some(Wish::Phase(Phase::Completed, Why::Emptied))
+                Some(Proposal::Phase(Phase::RolledBack, Why::NoTime))
             }
+            Some(Phase::Cutover) => self
+                .are_emptied(old, now)
+                .then_some(Proposal::Phase(Phase::Completed, Why::Emptied)),
             Some(Phase::Completed | Phase::RolledBack) => None,
         }
     }
 
-    fn wish_of_canary(&self, upstreams: &[String], age: Duration, now: Instant) -> Option<Wish> {
+    fn propose_in_canary(
+        &self,
+        upstreams: &[String],
+        age: Duration,
+        now: Instant,
+    ) -> Option<Proposal> {
         if age >= self.order.duration.saturating_sub(GIVE_UP_BEFORE) {
-            return Some(Wish::Phase(Phase::RolledBack, Why::NoTime));
+            return Some(Proposal::Phase(Phase::RolledBack, Why::NoTime));
         }
         let enough = self.order.duration.mul_f64(CANARY_PART);
         let cutover_at = self.order.duration.saturating_sub(CUTOVER_TIME).max(enough);
         if age >= cutover_at && self.answers_of_new() >= ANSWERS_LEAST && self.has_room(now) {
-            return Some(Wish::Phase(Phase::Cutover, Why::Proven));
+            return Some(Proposal::Phase(Phase::Cutover, Why::Proven));
         }
         let next = self.canaries(upstreams, now);
         if !matches!(&next, Phase::Canary { upstreams: wanted, .. } if wanted == upstreams) {
-            return Some(Wish::Phase(next, Why::Canaries));
+            return Some(Proposal::Phase(next, Why::Canaries));
         }
         let allowed = self.account.allowed(self.bounds, self.calls_seen());
         let granted = self.account.granted;
         let grows = allowed >= granted.saturating_add(GRANT_LEAST.max(granted / GRANT_PART));
-        (grows && !upstreams.is_empty()).then_some(Wish::Grant(allowed))
+        (grows && !upstreams.is_empty()).then_some(Proposal::Grant(allowed))
     }
 
-    /// Takes in that a wish is written.
-    pub fn written(&mut self, wish: &Wish) {
+    /// Takes in that a proposal is written.
+    pub fn apply(&mut self, proposal: &Proposal) {
         self.step += 1;
         self.is_untold = false;
-        match wish {
-            Wish::Phase(phase, _) => self.phase = Some(phase.clone()),
-            Wish::Grant(granted) => self.account.granted = *granted,
+        match proposal {
+            Proposal::Phase(phase, _) => self.phase = Some(phase.clone()),
+            Proposal::Grant(granted) => self.account.granted = *granted,
         }
     }
 
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -37,7 +37,7 @@
     pub revision: Revision,
     /// The store's era in which it was last read. An order that its operator writes again
     /// after the store came back from a copy is the same order.
-    pub read_in: u64,
+    pub read_in_era: u64,
     /// Time for it.
     pub duration: Duration,
 }
@@ -65,7 +65,7 @@
     ///
     /// Failure: the store comes back from a copy, and the operator writes an order again,
     /// at another position. Symptom: a rollout that was rolled back begins anew.
-    pub fn known_as(self, stage: Option<&Stage>) -> Order {
+    pub fn with_known_revision(self, stage: Option<&Stage>) -> Order {
         match stage {
             Some(stage) if stage.target == self.target && stage.order.era < self.revision.era => {
                 Order { revision: stage.order, ..self }
@@ -77,7 +77,7 @@
 
 impl Phase {
     /// Returns whether nothing follows.
-    pub fn is_end(&self) -> bool {
+    pub fn is_final(&self) -> bool {
         matches!(self, Phase::Completed | Phase::RolledBack)
     }
 
--- a/crates/core/src/rollout/tally.rs
+++ b/crates/core/src/rollout/tally.rs
@@ -23,7 +23,7 @@
 
 impl Tally {
     /// Counts an answer.
-    pub fn answered(&mut self, took: Duration) {
+    pub fn record_answer(&mut self, took: Duration) {
         self.times[class_of(took)] += 1;
     }
 
@@ -57,7 +57,7 @@
 
 impl Kinds {
     /// Returns the count of a kind.
-    pub fn of(&mut self, kind: KindKey) -> &mut Tally {
+    pub fn tally_mut(&mut self, kind: KindKey) -> &mut Tally {
         let known = self.0.iter().position(|(known, _)| *known == kind);
         let at = known.unwrap_or_else(|| {
             if self.0.len() < KINDS_KEPT {
--- a/crates/core/tests/restored_rollouts.rs
+++ b/crates/core/tests/restored_rollouts.rs
@@ -4,7 +4,7 @@
 use cicadashift_core::ids::{HostKey, Revision};
 use cicadashift_core::request::gate::KindKey;
 use cicadashift_core::rollout::account::{Account, Bounds};
-use cicadashift_core::rollout::decide::{Decider, Wish};
+use cicadashift_core::rollout::decide::{Decider, Proposal};
 use cicadashift_core::rollout::tally::{Kinds, Report, UpstreamReport};
 use cicadashift_core::rollout::{Order, Phase, Stage};
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 
 fn order(revision: Revision, target: &str) -> Order {
     let (service, duration) = ("notice".to_string(), Duration::from_secs(12));
-    Order { service, target: target.to_string(), revision, read_in: revision.era, duration }
+    Order { service, target: target.to_string(), revision, read_in_era: revision.era, duration }
 }
 
 fn stage(revision: Revision, target: &str, phase: Phase) -> Stage {
@@ -41,14 +41,14 @@
         ("a new order in the same era", order(at(1, 41), "v2"), at(1, 41)),
     ];
     for (case, order, expected) in cases {
-        assert_eq!(order.clone().known_as(Some(&known)).revision, expected, "{case}");
-        assert_eq!(order.clone().known_as(None), order, "{case}, nothing known");
+        assert_eq!(order.clone().with_known_revision(Some(&known)).revision, expected, "{case}");
+        assert_eq!(order.clone().with_known_revision(None), order, "{case}, nothing known");
     }
 }
 
 fn report(order: &Order, epoch: u32, host: u64, is_new: bool, sent: u32) -> Report {
     let mut kinds = Kinds::default();
-    (0..sent).for_each(|_| kinds.of(KindKey(1)).answered(Duration::from_millis(20)));
+    (0..sent).for_each(|_| kinds.tally_mut(KindKey(1)).record_answer(Duration::from_millis(20)));
     let upstream = UpstreamReport {
         upstream: format!("i-{host}"),
         is_new,
@@ -81,13 +81,13 @@
     for n in 0..75 {
         let now = start + STEP * n;
         let epoch = decider.epoch();
-        decider.report(report(&order, epoch, 1, false, CALLS_PER_STEP * n), now);
-        decider.report(report(&order, epoch, 2, true, 0), now);
-        let Some(wish) = decider.wish(&old, now) else { continue };
-        if let Wish::Grant(calls) = wish {
+        decider.handle_report(report(&order, epoch, 1, false, CALLS_PER_STEP * n), now);
+        decider.handle_report(report(&order, epoch, 2, true, 0), now);
+        let Some(proposal) = decider.propose(&old, now) else { continue };
+        if let Proposal::Grant(calls) = proposal {
             granted = calls;
         }
-        decider.written(&wish);
+        decider.apply(&proposal);
     }
     (granted, decider.phase().cloned())
 }
@@ -96,7 +96,7 @@
 fn who_takes_over_without_the_grants_grants_nothing() {
     // Guards against canaries that get what was granted since the copy once more: the bound
     // on an unproven version is one for the whole rollout.
-    assert_eq!(take_over(Account::unknown()), (0, Some(Phase::RolledBack)));
+    assert_eq!(take_over(Account::with_unknown_grants()), (0, Some(Phase::RolledBack)));
     let (granted, _) = take_over(Account::taken_over(500, 20));
     assert!(granted > 20, "one that knows the grants goes on: {granted}");
 }
--- a/crates/core/tests/rollouts.rs
+++ b/crates/core/tests/rollouts.rs
@@ -8,7 +8,7 @@
 use cicadashift_core::ids::{HostKey, Revision};
 use cicadashift_core::request::gate::KindKey;
 use cicadashift_core::rollout::account::{Account, Bounds};
-use cicadashift_core::rollout::decide::{Decider, Wish};
+use cicadashift_core::rollout::decide::{Decider, Proposal};
 use cicadashift_core::rollout::tally::{Kinds, Report, UpstreamReport};
 use cicadashift_core::rollout::{Lane, Order, Phase, Stage};
 use std::collections::VecDeque;
@@ -97,7 +97,7 @@
     hosts: Vec<Host>,
     published: Vec<(u64, Stage)>,
     decider: Decider,
-    writing: Option<(u64, Wish)>,
+    writing: Option<(u64, Proposal)>,
     out: Outcome,
     start: Instant,
 }
@@ -118,7 +118,7 @@
             service: "notice".to_string(),
             target: "v2".to_string(),
             revision: Revision { era: 0, number: 5 },
-            read_in: 0,
+            read_in_era: 0,
             duration: Duration::from_secs(12),
         };
         let host = |i: usize| Host {
@@ -154,15 +154,15 @@
 
     fn decide(&mut self, step: u64) {
         let now = self.start + STEP * step as u32;
-        if let Some((at, wish)) = self.writing.take() {
+        if let Some((at, proposal)) = self.writing.take() {
             if step < at {
-                self.writing = Some((at, wish));
+                self.writing = Some((at, proposal));
                 return;
             }
-            self.decider.written(&wish);
-            if let Wish::Phase(phase, _) = &wish {
+            self.decider.apply(&proposal);
+            if let Proposal::Phase(phase, _) = &proposal {
                 self.published.extend(self.stage().map(|stage| (step, stage)));
-                if phase.is_end() {
+                if phase.is_final() {
                     self.out.end = Some((phase.clone(), step));
                 }
                 if *phase == Phase::Completed {
@@ -173,8 +173,8 @@
             }
         }
         let old: Vec<String> = (0..HOSTS).filter(|host| !is_new(*host)).map(name).collect();
-        if let Some(wish) = self.decider.wish(&old, now) {
-            self.writing = Some((step + 1 + self.random.below(10), wish));
+        if let Some(proposal) = self.decider.propose(&old, now) {
+            self.writing = Some((step + 1 + self.random.below(10), proposal));
         }
     }
 
@@ -221,7 +221,7 @@
                 epoch: host.epoch,
                 upstreams: vec![upstream],
             };
-            let quotas = self.decider.report(report, now);
+            let quotas = self.decider.handle_report(report, now);
             let epoch = self.decider.epoch();
             let host = &mut self.hosts[i];
             if host.epoch != epoch {
@@ -283,11 +283,11 @@
         let took = Duration::from_millis(ms.min(2_000.0) as u64);
         let upstream = &mut self.hosts[host];
         upstream.sent += 1;
-        let tally = upstream.kinds.of(KindKey(kind));
+        let tally = upstream.kinds.tally_mut(KindKey(kind));
         if fails {
             tally.failures += 1;
         } else {
-            tally.answered(took);
+            tally.record_answer(took);
         }
         upstream.at_work.push_back(step + took.as_millis() as u64 / 20);
         if is_new(host) {
--- a/src/daemon/rollouts/decider.rs
+++ b/src/daemon/rollouts/decider.rs
@@ -10,7 +10,7 @@
 use crate::store::{Lease, Platform, PlatformError, Revision, Swap, keys};
 use cicadashift_core::membership::record::Record;
 use cicadashift_core::rollout::account::{Account, Bounds};
-use cicadashift_core::rollout::decide::{Decider, Why, Wish};
+use cicadashift_core::rollout::decide::{Decider, Proposal, Why};
 use cicadashift_core::rollout::tally::{Quotas, Report};
 use cicadashift_core::rollout::{Order, Phase, Stage};
 use cicadashift_edge::interface::{Interface, RolloutState, RolloutStatus};
@@ -89,7 +89,7 @@
             } else if is_due && is_untold(&d, &order, &told_in) {
                 tried.insert(order.service.clone(), now);
                 match tell_again(&d, &order).await {
-                    Ok(()) => drop(told_in.insert(order.service.clone(), order.read_in)),
+                    Ok(()) => drop(told_in.insert(order.service.clone(), order.read_in_era)),
                     Err(err) => log::info!("rollout of {}: not told: {err}", order.service),
                 }
             }
@@ -134,7 +134,7 @@
 /// Returns whether an order needs somebody to decide, as far as is known here.
 fn is_open(d: &Daemon, order: &Order) -> bool {
     let has_ended = d.rollouts.stage(&order.service).is_some_and(|stage| {
-        let has_ended = stage.order == order.revision && stage.phase.is_end();
+        let has_ended = stage.order == order.revision && stage.phase.is_final();
         has_ended || stage.order.supersedes(order.revision)
     });
     let decides_here = lock(&d.rollouts.decisions).contains_key(&order.service);
@@ -144,15 +144,15 @@
 /// Returns whether the store came back from a copy since a rollout ended, so that the
 /// operator may not know how.
 fn is_untold(d: &Daemon, order: &Order, told_in: &HashMap<String, u64>) -> bool {
-    let is_rewritten = order.read_in > order.revision.era;
-    let is_told = told_in.get(&order.service) == Some(&order.read_in);
+    let is_rewritten = order.read_in_era > order.revision.era;
+    let is_told = told_in.get(&order.service) == Some(&order.read_in_era);
     is_rewritten && !is_told && d.follows.load(Ordering::Relaxed)
 }
 
 /// Tells the operator again how a rollout ended.
 async fn tell_again(d: &Daemon, order: &Order) -> Result<(), PlatformError> {
     let stage = d.rollouts.stage(&order.service);
-    let ended = stage.filter(|stage| stage.order == order.revision && stage.phase.is_end());
+    let ended = stage.filter(|stage| stage.order == order.revision && stage.phase.is_final());
     match ended {
         Some(stage) => write_status(d, order, state_of(&stage.phase)).await,
         None => Ok(()),
@@ -183,7 +183,7 @@
     });
     let before = kept.filter(|kept| kept.stage.order == order.revision);
     let (decider, began_ms) = begin(d, order, before, now);
-    let ended = decider.phase().filter(|phase| phase.is_end()).cloned();
+    let ended = decider.phase().filter(|phase| phase.is_final()).cloned();
     let decision = Decision { decider, lease, kept: now, revision, began_ms };
     lock(&d.rollouts.decisions).insert(order.service.clone(), decision);
     match ended {
@@ -224,7 +224,7 @@
     let began = now.checked_sub(passed).unwrap_or(now);
     // Grants may have been written that the copy does not have.
     let account = match d.platform.era().is_some_and(|era| era > order.revision.era) {
-        true => Account::unknown(),
+        true => Account::with_unknown_grants(),
         false => Account::taken_over(seen, granted),
     };
     (Decider::new(order.clone(), bounds, began, step, Some(phase), account), began_ms)
@@ -242,9 +242,9 @@
     };
     let is_replaced = order.is_some_and(|order| order.revision.supersedes(own.revision));
     // Looked at also while the store is away: canaries of a worse version get no more.
-    let wish = match order {
-        Some(_) => next_wish(d, service, now),
-        None => Some(Wish::Phase(Phase::RolledBack, Why::Withdrawn)),
+    let proposal = match order {
+        Some(_) => next_proposal(d, service, now),
+        None => Some(Proposal::Phase(Phase::RolledBack, Why::Withdrawn)),
     };
     if is_due {
         if !d.platform.keep_alive(lease).await? && !keep_deciding(d, service).await? {
@@ -260,8 +260,8 @@
         // Another order stands; whoever takes it on begins anew.
         return let_go(d, service).await;
     }
-    match wish {
-        Some(wish) => write(d, service, &own, wish).await,
+    match proposal {
+        Some(proposal) => write(d, service, &own, proposal).await,
         None => Ok(()),
     }
 }
@@ -297,10 +297,10 @@
     held.is_some_and(|held| d.platform.era().is_none_or(|era| era == held))
 }
 
-fn next_wish(d: &Daemon, service: &str, now: Instant) -> Option<Wish> {
+fn next_proposal(d: &Daemon, service: &str, now: Instant) -> Option<Proposal> {
     let old = old_upstreams(d, service);
     let mut decisions = lock(&d.rollouts.decisions);
-    decisions.get_mut(service)?.decider.wish(&old, now)
+    decisions.get_mut(service)?.decider.propose(&old, now)
 }
 
 /// Returns the upstreams of other versions on hosts that are believed to run.
@@ -318,9 +318,9 @@
     d: &Arc<Daemon>,
     service: &str,
     order: &Order,
-    wish: Wish,
+    proposal: Proposal,
 ) -> Result<(), PlatformError> {
-    let Some((kept, revision)) = kept_with(d, service, &wish) else { return Ok(()) };
+    let Some((kept, revision)) = kept_with(d, service, &proposal) else { return Ok(()) };
     let key = keys::rollout(service);
     let value = rpc::encode(&kept);
     let swap = d.platform.swap(&key, revision, &value, None).await;
@@ -335,10 +335,10 @@
     }
     match pair {
         Some(pair) if pair.value == value => {
-            log_written(service, &wish);
+            log_written(service, &proposal);
             if let Some(decision) = lock(&d.rollouts.decisions).get_mut(service) {
                 decision.revision = pair.revision;
-                decision.decider.written(&wish);
+                decision.decider.apply(&proposal);
             }
         }
         Some(pair) if pair.revision != revision => {
@@ -349,12 +349,12 @@
         _ => return Ok(()),
     }
     // A grant concerns the decider alone.
-    if let Wish::Grant(_) = wish {
+    if let Proposal::Grant(_) = proposal {
         return Ok(());
     }
     d.rollouts.learn(&kept.stage, d.clock.now());
     publish(d);
-    if kept.stage.phase.is_end() {
+    if kept.stage.phase.is_final() {
         d.metrics.incr("rollout.decided");
         return end(d, order, &kept.stage.phase).await;
     }
@@ -362,14 +362,14 @@
 }
 
 /// Returns what the store is to hold once a wish is written, and what it must hold now.
-fn kept_with(d: &Daemon, service: &str, wish: &Wish) -> Option<(Kept, Revision)> {
+fn kept_with(d: &Daemon, service: &str, proposal: &Proposal) -> Option<(Kept, Revision)> {
     let decisions = lock(&d.rollouts.decisions);
     let decision = decisions.get(service)?;
     let decider = &decision.decider;
     let account = decider.account();
-    let (phase, granted) = match wish {
-        Wish::Phase(phase, _) => (phase.clone(), account.granted),
-        Wish::Grant(granted) => (decider.phase()?.clone(), *granted),
+    let (phase, granted) = match proposal {
+        Proposal::Phase(phase, _) => (phase.clone(), account.granted),
+        Proposal::Grant(granted) => (decider.phase()?.clone(), *granted),
     };
     let order = decider.order();
     let stage = Stage {
@@ -380,16 +380,16 @@
         decider: d.me,
         phase,
     };
-    let kept = Kept { stage, began_ms: decision.began_ms, seen: account.seen_before, granted };
+    let kept = Kept { stage, began_ms: decision.began_ms, seen: account.calls_before, granted };
     Some((kept, decision.revision))
 }
 
-fn log_written(service: &str, wish: &Wish) {
-    match wish {
-        Wish::Phase(phase, why) => {
+fn log_written(service: &str, proposal: &Proposal) {
+    match proposal {
+        Proposal::Phase(phase, why) => {
             log::warn!("rollout of {service}: {} is decided: {why:?}", phase.name());
         }
-        Wish::Grant(granted) => log::info!("rollout of {service}: {granted} calls are granted"),
+        Proposal::Grant(granted) => log::info!("rollout of {service}: {granted} calls are granted"),
     }
 }
 
@@ -449,6 +449,6 @@
     if decision.decider.order().revision != report.order {
         return None;
     }
-    let quotas = decision.decider.report(report, now);
+    let quotas = decision.decider.handle_report(report, now);
     Some((decision.decider.epoch(), quotas))
 }
--- a/src/daemon/rollouts/exit.rs
+++ b/src/daemon/rollouts/exit.rs
@@ -73,15 +73,15 @@
         let endpoint = local.endpoint();
         let Some(stage) = self.stage(&endpoint.service) else { return };
         // One that has just started is slow whatever its version.
-        if stage.phase.is_end() || endpoint.readiness == Readiness::Cold {
+        if stage.phase.is_final() || endpoint.readiness == Readiness::Cold {
             return;
         }
         let mut counts = lock(&self.counts);
         let count = counts.entry(local.name.clone()).or_default();
         count.begin(stage.order);
-        let tally = count.kinds.of(kind);
+        let tally = count.kinds.tally_mut(kind);
         match took {
-            Some(took) => tally.answered(took),
+            Some(took) => tally.record_answer(took),
             None => tally.failures += 1,
         }
     }
--- a/src/daemon/rollouts/mod.rs
+++ b/src/daemon/rollouts/mod.rs
@@ -158,7 +158,7 @@
             decoded.inspect_err(|err| log::warn!("{} is no order: {err}", pair.key)).ok()?;
         let stages = lock(&self.stages);
         let stage = stages.get(&order.service).map(|known| &known.stage);
-        Some(order.known_as(stage))
+        Some(order.with_known_revision(stage))
     }
 
     /// Takes in that an order was taken back.
--- a/src/daemon/rollouts/report.rs
+++ b/src/daemon/rollouts/report.rs
@@ -29,7 +29,7 @@
             decider::publish(&d);
         }
         for stage in d.rollouts.stages() {
-            if !stage.phase.is_end() {
+            if !stage.phase.is_final() {
                 tell(&d, &stage).await;
             }
         }
