--- a/crates/core/src/limit/keeper.rs
+++ b/crates/core/src/limit/keeper.rs
@@ -26,7 +26,7 @@
 
 /// The part of a limit that a keeper counts with.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct QuotaPart {
     /// Calls a second.
     rate_per_s: f64,
     /// Calls beyond the rate after a time without any.
@@ -35,14 +35,14 @@
     tolerance: f64,
 }
 
-impl Part {
+impl QuotaPart {
     /// Returns the part of a keeper that sees `live` daemons and lost sight of `lost`.
     ///
     /// Failure: the mesh is split and each part keeps the limit by itself. Symptom: an
     /// organisation gets its limit once in each part.
-    pub fn of(quota: Quota, live: usize, lost: usize) -> Part {
+    pub fn of(quota: Quota, live: usize, lost: usize) -> QuotaPart {
         let part = live as f64 / (live + lost).max(1) as f64;
-        Part {
+        QuotaPart {
             rate_per_s: quota.rate_per_s as f64 * part,
             burst: quota.burst as f64 * part,
             tolerance: TOLERANCE * part,
@@ -69,7 +69,7 @@
     }
 
     /// Takes one daemon's report in. `part` is what counts here of the limit.
-    pub fn report(&mut self, usage: &Usage, part: Part, now: Instant) {
+    pub fn add_usage(&mut self, usage: &Usage, part: QuotaPart, now: Instant) {
         self.advance(part, now);
         self.reported = now;
         self.level -= f64::from(usage.admitted);
@@ -79,7 +79,7 @@
     }
 
     /// Returns what may be admitted of what is offered next.
-    pub fn grant(&self, key: LimitKey, part: Part) -> Grant {
+    pub fn grant(&self, key: LimitKey, part: QuotaPart) -> Grant {
         let room = self.level + part.tolerance;
         let share = match room >= (part.burst + part.tolerance) * HOLD_BACK_BELOW {
             true => 1.0,
@@ -88,7 +88,7 @@
         Grant { key, share: (share * f64::from(Grant::ALL)).round() as u16 }
     }
 
-    fn share(&self, part: Part, room: f64) -> f64 {
+    fn share(&self, part: QuotaPart, room: f64) -> f64 {
         let target = part.rate_per_s + room / SETTLE_OVER.as_secs_f64();
         let demand = self.demand[0].max(self.demand[1]);
         match demand > 0.0 {
@@ -99,7 +99,7 @@
 
     /// Returns what is to be told to all daemons, where the limit is held back and calls
     /// came lately.
-    pub fn notice(&mut self, key: LimitKey, part: Part, now: Instant) -> Option<Grant> {
+    pub fn reduced_grant(&mut self, key: LimitKey, part: QuotaPart, now: Instant) -> Option<Grant> {
         let is_asked = now.saturating_duration_since(self.reported) < ASKED_FOR;
         self.advance(part, now);
         Some(self.grant(key, part)).filter(|grant| is_asked && grant.share < Grant::ALL)
@@ -107,7 +107,7 @@
 
     /// Returns the calls that may be admitted at once, below zero a debt, and those offered
     /// a second.
-    pub fn balance(&mut self, part: Part, now: Instant) -> (f64, f64) {
+    pub fn balance(&mut self, part: QuotaPart, now: Instant) -> (f64, f64) {
         self.advance(part, now);
         (self.level, self.demand[1])
     }
@@ -117,7 +117,7 @@
         now.saturating_duration_since(self.reported) >= FORGET_AFTER
     }
 
-    fn advance(&mut self, part: Part, now: Instant) {
+    fn advance(&mut self, part: QuotaPart, now: Instant) {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
         self.at = self.at.max(now);
         self.level = (self.level + part.rate_per_s * passed).min(part.burst);
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -23,7 +23,7 @@
 //! holds more than the burst, the rate and the debt at its end.
 //!
 //! - *A daemon hears nothing of its keeper*: it goes on with a little more than it admitted
-//!   before, see [`share::Share`]. The sum over such daemons is what they had together.
+//!   before, see [`share::Limiter`]. The sum over such daemons is what they had together.
 //! - *The mesh is split*: each part has a keeper of its own, which counts with the part of
 //!   the limit that its part of the daemons is of all.
 //! - *A keeper ends*: the next one begins with the rate alone, since nobody knows what was
--- a/crates/core/src/limit/share.rs
+++ b/crates/core/src/limit/share.rs
@@ -21,7 +21,7 @@
 
 /// One daemon's part in a limit.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct Limiter {
     offered: u32,
     admitted: u32,
     /// Calls of [`Grant::ALL`] that may be admitted, and until when that counts.
@@ -36,11 +36,11 @@
     at: Instant,
 }
 
-impl Share {
+impl Limiter {
     /// Makes the part of a daemon that has heard nothing yet; it admits everything until
     /// its keeper had time to answer.
-    pub fn new(now: Instant) -> Share {
-        Share {
+    pub fn new(now: Instant) -> Limiter {
+        Limiter {
             offered: 0,
             admitted: 0,
             granted: Grant::ALL,
@@ -85,7 +85,7 @@
     }
 
     /// Takes the keeper's word in.
-    pub fn grant(&mut self, grant: Grant, now: Instant) {
+    pub fn apply_grant(&mut self, grant: Grant, now: Instant) {
         self.granted = grant.share;
         self.until = now + GRANT_LASTS;
         self.heard = now;
@@ -99,7 +99,7 @@
     }
 
     /// Returns the share of [`Grant::ALL`] that is admitted, and calls admitted a second.
-    pub fn admitting(&self, now: Instant) -> (u16, f64) {
+    pub fn share_and_rate(&self, now: Instant) -> (u16, f64) {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
         (self.granted, self.rate * (-passed / RATE_OVER.as_secs_f64()).exp())
     }
--- a/crates/core/src/membership/detector.rs
+++ b/crates/core/src/membership/detector.rs
@@ -27,18 +27,18 @@
 
 /// What the detector wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Probe {
+pub enum Action {
     /// Probe this member directly.
-    Direct(HostKey),
+    DirectProbe(HostKey),
     /// Ask `helper` to probe `target`.
-    Indirect { helper: HostKey, target: HostKey },
+    IndirectProbe { helper: HostKey, target: HostKey },
     /// Believe the member suspect.
     Suspect(HostKey),
     /// Believe the member dead.
     Dead(HostKey),
     /// This daemon was frozen: compare tables with somebody before trusting own
     /// beliefs.
-    Paused(Duration),
+    Frozen(Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -86,7 +86,7 @@
     /// Does what is due at this time.
     ///
     /// `others` are the live members but this one; `random` is any number.
-    pub fn tick(&mut self, now: Instant, others: &[HostKey], random: u64) -> Vec<Probe> {
+    pub fn tick(&mut self, now: Instant, others: &[HostKey], random: u64) -> Vec<Action> {
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
         if gap >= PAUSE {
@@ -106,14 +106,20 @@
     ///
     /// Failure: a frozen daemon wakes and finds every timer expired. Symptom: it
     /// believes the whole domain dead and tells so. All timers start anew.
-    fn wake(&mut self, now: Instant, gap: Duration) -> Vec<Probe> {
+    fn wake(&mut self, now: Instant, gap: Duration) -> Vec<Action> {
         self.outstanding = None;
         self.next_probe = now + PERIOD;
         self.suspects.values_mut().for_each(|since| *since = now);
-        vec![Probe::Paused(gap)]
+        vec![Action::Frozen(gap)]
     }
 
-    fn escalate(&mut self, now: Instant, others: &[HostKey], random: u64, probes: &mut Vec<Probe>) {
+    fn escalate(
+        &mut self,
+        now: Instant,
+        others: &[HostKey],
+        random: u64,
+        probes: &mut Vec<Action>,
+    ) {
         let Some(probe) = &mut self.outstanding else { return };
         if !probe.indirect && now >= probe.since + DIRECT_WAIT {
             probe.indirect = true;
@@ -122,7 +128,7 @@
             let count = HELPERS.min(helpers.len());
             for i in 0..count {
                 let helper = *helpers[(random as usize).wrapping_add(i) % helpers.len()];
-                probes.push(Probe::Indirect { helper, target });
+                probes.push(Action::IndirectProbe { helper, target });
             }
         }
         if now >= probe.since + PERIOD - Duration::from_millis(50) {
@@ -130,12 +136,12 @@
             self.outstanding = None;
             if others.contains(&target) && !self.suspects.contains_key(&target) {
                 self.suspects.insert(target, now);
-                probes.push(Probe::Suspect(target));
+                probes.push(Action::Suspect(target));
             }
         }
     }
 
-    fn expire(&mut self, now: Instant, others: &[HostKey], probes: &mut Vec<Probe>) {
+    fn expire(&mut self, now: Instant, others: &[HostKey], probes: &mut Vec<Action>) {
         self.suspects.retain(|host, _| others.contains(host));
         let dead: Vec<_> = self
             .suspects
@@ -145,11 +151,11 @@
             .collect();
         for host in dead {
             self.suspects.remove(&host);
-            probes.push(Probe::Dead(host));
+            probes.push(Action::Dead(host));
         }
     }
 
-    fn start(&mut self, now: Instant, others: &[HostKey], random: u64, probes: &mut Vec<Probe>) {
+    fn start(&mut self, now: Instant, others: &[HostKey], random: u64, probes: &mut Vec<Action>) {
         self.round.retain(|host| others.contains(host));
         if self.round.is_empty() {
             self.round = others.to_vec();
@@ -157,6 +163,6 @@
         }
         let Some(target) = self.round.pop() else { return };
         self.outstanding = Some(Outstanding { target, since: now, indirect: false });
-        probes.push(Probe::Direct(target));
+        probes.push(Action::DirectProbe(target));
     }
 }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -7,7 +7,7 @@
 //! every probe.
 //!
 //! Between failure domains a few members carry the news, the [`BRIDGES`] of each, and
-//! now and then any other ([`Audience`]). Failure: every member tells members of all
+//! now and then any other ([`Candidates`]). Failure: every member tells members of all
 //! domains. Symptom: each change crosses between domains many times for each member.
 //! Should all bridges of a domain die at once, the others still tell, one in
 //! [`FAR_ONE_IN`] rounds each, until membership has named new ones.
@@ -37,7 +37,7 @@
 
 /// Who may be told in one round.
 #[derive(Clone, Debug, Default)]
-pub struct Audience {
+pub struct Candidates {
     /// The other members of the failure domain.
     pub near: Vec<HostKey>,
     /// Those of each other domain, its bridges first.
@@ -46,9 +46,9 @@
     pub is_bridge: bool,
 }
 
-impl Audience {
+impl Candidates {
     /// Returns whom to tell in one round. `random` gives any number below its argument.
-    pub fn draw(mut self, mut random: impl FnMut(usize) -> usize) -> Vec<HostKey> {
+    pub fn sample(mut self, mut random: impl FnMut(usize) -> usize) -> Vec<HostKey> {
         let mut out = Vec::new();
         while out.len() < GOSSIP_FANOUT && !self.near.is_empty() {
             let place = random(self.near.len());
--- a/crates/core/src/membership/liveness.rs
+++ b/crates/core/src/membership/liveness.rs
@@ -55,7 +55,7 @@
 
 /// What is to be done about a host that a call is under way to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum Check {
     /// Nothing.
     Wait,
     /// Ping it.
@@ -72,13 +72,13 @@
 
 impl Liveness {
     /// Notes that a call was sent to a host.
-    pub fn asked(&mut self, host: HostKey, now: Instant) {
+    pub fn call_sent(&mut self, host: HostKey, now: Instant) {
         self.signs(host, now).asked.get_or_insert(now);
     }
 
     /// Forgets what was not answered, after this daemon stood still: the others
     /// were not silent, it was deaf.
-    pub fn forgive(&mut self, now: Instant) {
+    pub fn reset(&mut self, now: Instant) {
         for signs in self.by_host.values_mut() {
             signs.heard = now;
             signs.asked = None;
@@ -86,23 +86,23 @@
     }
 
     /// Says what is to be done about a host that a call is under way to.
-    pub fn look(&mut self, host: HostKey, now: Instant) -> Look {
+    pub fn check(&mut self, host: HostKey, now: Instant) -> Check {
         let signs = self.signs(host, now);
         let quiet = now.saturating_duration_since(signs.heard) >= PING_AFTER;
         let unanswered = signs.asked.map(|at| now.saturating_duration_since(at));
         if unanswered.is_some_and(|time| time >= SILENT_AFTER) {
-            return Look::Silent;
+            return Check::Silent;
         }
         if quiet && now.saturating_duration_since(signs.pinged) >= PING_EVERY {
             signs.pinged = now;
             signs.asked.get_or_insert(now);
-            return Look::Ping;
+            return Check::Ping;
         }
-        Look::Wait
+        Check::Wait
     }
 
     /// Notes that something came from a host; returns whether it was silent.
-    pub fn heard(&mut self, host: HostKey, now: Instant) -> bool {
+    pub fn received(&mut self, host: HostKey, now: Instant) -> bool {
         let signs = self.signs(host, now);
         signs.heard = now;
         signs.asked = None;
@@ -110,14 +110,14 @@
     }
 
     /// Notes that a host is silent; returns whether that is news.
-    pub fn found_silent(&mut self, host: HostKey, now: Instant) -> bool {
+    pub fn mark_silent(&mut self, host: HostKey, now: Instant) -> bool {
         let silence = &mut self.signs(host, now).silence;
         silence.replace(Silence::Found) != Some(Silence::Found)
     }
 
     /// Presumes the other hosts of a failure domain silent, where too many of them are
     /// and nothing is heard of the rest; returns those that were not silent before.
-    pub fn presume(&mut self, domain: &[HostKey], now: Instant) -> Vec<HostKey> {
+    pub fn presume_silent(&mut self, domain: &[HostKey], now: Instant) -> Vec<HostKey> {
         let known = domain.iter().filter_map(|host| self.by_host.get(host));
         let found = known.clone().filter(|signs| signs.silence == Some(Silence::Found));
         let is_heard = |signs: &Signs| now.saturating_duration_since(signs.heard) < SILENT_AFTER;
@@ -138,7 +138,7 @@
 
     /// Takes back what was presumed of hosts of a failure domain of which one was heard;
     /// returns them.
-    pub fn unpresume(&mut self, domain: &[HostKey]) -> Vec<HostKey> {
+    pub fn clear_presumed(&mut self, domain: &[HostKey]) -> Vec<HostKey> {
         let mut back = Vec::new();
         for host in domain {
             let Some(signs) = self.by_host.get_mut(host) else { continue };
@@ -157,7 +157,7 @@
     }
 
     /// Returns whether anything is presumed.
-    pub fn is_any_presumed(&self) -> bool {
+    pub fn has_presumed(&self) -> bool {
         self.by_host.values().any(|signs| signs.silence == Some(Silence::Presumed))
     }
 
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -124,7 +124,7 @@
     /// Records a belief about another daemon's health at its present rank.
     ///
     /// Returns the record to spread, or `None` if nothing changed.
-    pub fn believe(&mut self, host: HostKey, health: Health, now: Instant) -> Option<Record> {
+    pub fn set_health(&mut self, host: HostKey, health: Health, now: Instant) -> Option<Record> {
         let mut record = self.get(host)?.clone();
         if host == self.me || record.health >= health {
             return None;
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,8 +1,8 @@
 //! Limits that all daemons keep together, on a virtual clock: daemons, their keepers and
 //! the way between them, under the demand that each test names.
 
-use cicadashift_core::limit::keeper::{Account, Part};
-use cicadashift_core::limit::share::Share;
+use cicadashift_core::limit::keeper::{Account, QuotaPart};
+use cicadashift_core::limit::share::Limiter;
 use cicadashift_core::limit::{Grant, LimitKey, NOTICE_EVERY, Quota, REPORT_EVERY, Usage};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 }
 
 struct Daemon {
-    share: Share,
+    share: Limiter,
     next_report: Instant,
     /// Which keeper it reports to, if it reaches one.
     keeper: Option<usize>,
@@ -64,7 +64,7 @@
         let now = Instant::now();
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut daemon = || Daemon {
-            share: Share::new(now),
+            share: Limiter::new(now),
             next_report: now + REPORT_EVERY.mul_f64(rng.f64()),
             keeper: Some(0),
         };
@@ -133,8 +133,8 @@
 
     fn notice(&mut self) {
         for (k, keeper) in self.keepers.iter_mut().enumerate() {
-            let part = Part::of(self.quota, keeper.live, keeper.lost);
-            let grant = keeper.account.notice(KEY, part, self.now);
+            let part = QuotaPart::of(self.quota, keeper.live, keeper.lost);
+            let grant = keeper.account.reduced_grant(KEY, part, self.now);
             let is_due = keeper.told.is_none_or(|told| self.now >= told + NOTICE_EVERY);
             let is_new =
                 std::mem::replace(&mut keeper.was_held, grant.is_some()) != grant.is_some();
@@ -150,18 +150,18 @@
         while self.notices.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (_, keeper, grant) = self.notices.pop_front().expect("it is there");
             let reached = self.daemons.iter_mut().filter(|daemon| daemon.keeper == Some(keeper));
-            reached.for_each(|daemon| daemon.share.grant(grant, self.now));
+            reached.for_each(|daemon| daemon.share.apply_grant(grant, self.now));
         }
         while self.reports.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (_, i, keeper, usage) = self.reports.pop_front().expect("it is there");
             let keeper = &mut self.keepers[keeper];
-            let part = Part::of(self.quota, keeper.live, keeper.lost);
-            keeper.account.report(&usage, part, self.now);
+            let part = QuotaPart::of(self.quota, keeper.live, keeper.lost);
+            keeper.account.add_usage(&usage, part, self.now);
             self.grants.push_back((self.now + WAY, i, keeper.account.grant(KEY, part)));
         }
         while self.grants.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (_, i, grant) = self.grants.pop_front().expect("it is there");
-            self.daemons[i].share.grant(grant, self.now);
+            self.daemons[i].share.apply_grant(grant, self.now);
         }
     }
 
@@ -291,7 +291,7 @@
 fn a_call_that_did_not_run_is_not_counted() {
     // Guards against calls that are refused later and still use the limit up.
     let now = Instant::now();
-    let mut share = Share::new(now);
+    let mut share = Limiter::new(now);
     for n in 0..10 {
         assert!(share.admit(false, now, n));
     }
@@ -305,9 +305,9 @@
     // Guards against an organisation over its limit whose calls are answered late, since
     // those that come back take the places of those that could be in time.
     let now = Instant::now();
-    let mut share = Share::new(now);
+    let mut share = Limiter::new(now);
     assert!(share.admit(true, now, 0), "nothing is held back");
-    share.grant(Grant { key: KEY, share: Grant::ALL / 2 }, now);
+    share.apply_grant(Grant { key: KEY, share: Grant::ALL / 2 }, now);
     assert!(!share.admit(true, now, 0));
     assert!(share.admit(false, now, 0));
     assert_eq!(share.take_usage(KEY), Some(Usage { key: KEY, offered: 2, admitted: 2 }));
--- a/crates/core/tests/liveness.rs
+++ b/crates/core/tests/liveness.rs
@@ -1,23 +1,23 @@
 //! Which hosts are taken for silent, on the virtual clock.
 
 use cicadashift_core::ids::HostKey;
-use cicadashift_core::membership::liveness::{Liveness, Look, SILENT_AFTER};
+use cicadashift_core::membership::liveness::{Check, Liveness, SILENT_AFTER};
 use std::time::{Duration, Instant};
 
 const DOMAIN: [HostKey; 5] = [HostKey(1), HostKey(2), HostKey(3), HostKey(4), HostKey(5)];
 
 fn heard_all(liveness: &mut Liveness, now: Instant) {
     DOMAIN.iter().for_each(|host| {
-        liveness.heard(*host, now);
+        liveness.received(*host, now);
     });
 }
 
 /// Finds a host silent by a call that nothing follows; returns when.
 fn find_silent(liveness: &mut Liveness, host: HostKey, now: Instant) -> Instant {
-    liveness.asked(host, now);
+    liveness.call_sent(host, now);
     let later = now + SILENT_AFTER;
-    assert_eq!(liveness.look(host, later), Look::Silent);
-    assert!(liveness.found_silent(host, later));
+    assert_eq!(liveness.check(host, later), Check::Silent);
+    assert!(liveness.mark_silent(host, later));
     later
 }
 
@@ -31,11 +31,11 @@
     let mut liveness = Liveness::default();
     heard_all(&mut liveness, start);
     let now = find_silent(&mut liveness, DOMAIN[0], start);
-    let after_one = liveness.presume(&DOMAIN, now);
+    let after_one = liveness.presume_silent(&DOMAIN, now);
     let now = find_silent(&mut liveness, DOMAIN[1], now);
-    let after_two = liveness.presume(&DOMAIN, now);
-    assert!(liveness.heard(DOMAIN[3], now + Duration::from_millis(900)));
-    let back = liveness.unpresume(&DOMAIN);
+    let after_two = liveness.presume_silent(&DOMAIN, now);
+    assert!(liveness.received(DOMAIN[3], now + Duration::from_millis(900)));
+    let back = liveness.clear_presumed(&DOMAIN);
     let mut silent = liveness.silent_hosts();
     silent.sort();
     let keys = |hosts: Vec<HostKey>| hosts.iter().map(|host| host.0).collect::<Vec<_>>();
@@ -52,6 +52,6 @@
     heard_all(&mut liveness, start);
     let now = find_silent(&mut liveness, DOMAIN[0], start);
     let now = find_silent(&mut liveness, DOMAIN[1], now);
-    liveness.heard(DOMAIN[2], now - Duration::from_millis(200));
-    assert_eq!(liveness.presume(&DOMAIN, now), []);
+    liveness.received(DOMAIN[2], now - Duration::from_millis(200));
+    assert_eq!(liveness.presume_silent(&DOMAIN, now), []);
 }
--- a/crates/core/tests/scenarios/membership.rs
+++ b/crates/core/tests/scenarios/membership.rs
@@ -2,7 +2,7 @@
 
 use super::{arg, list, number};
 use cicadashift_core::ids::HostKey;
-use cicadashift_core::membership::detector::{Detector, Probe};
+use cicadashift_core::membership::detector::{Action, Detector};
 use cicadashift_core::membership::record::{Endpoint, Health, Readiness, Record};
 use cicadashift_core::membership::table::Table;
 use datadriven::TestCase;
@@ -81,24 +81,24 @@
         out
     }
 
-    fn act(&mut self, probe: Probe) -> String {
+    fn act(&mut self, probe: Action) -> String {
         match probe {
-            Probe::Direct(host) => {
+            Action::DirectProbe(host) => {
                 if !self.silent.contains(&self.name(host)) {
                     self.detector.answered(host);
                 }
                 String::new()
             }
-            Probe::Indirect { .. } => String::new(),
-            Probe::Suspect(host) => {
-                self.table.believe(host, Health::Suspect, self.now());
+            Action::IndirectProbe { .. } => String::new(),
+            Action::Suspect(host) => {
+                self.table.set_health(host, Health::Suspect, self.now());
                 format!("{} ms: {} is suspected\n", self.now_ms, self.name(host))
             }
-            Probe::Dead(host) => {
-                self.table.believe(host, Health::Dead, self.now());
+            Action::Dead(host) => {
+                self.table.set_health(host, Health::Dead, self.now());
                 format!("{} ms: {} is taken for dead\n", self.now_ms, self.name(host))
             }
-            Probe::Paused(gap) => format!("frozen for {} ms, believes nothing\n", gap.as_millis()),
+            Action::Frozen(gap) => format!("frozen for {} ms, believes nothing\n", gap.as_millis()),
         }
     }
 
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -4,7 +4,7 @@
 use super::{Daemon, catch_up, limits, liveness, quarantine, source};
 use crate::settings::InterfaceKind;
 use cicadashift_core::ids::HostKey;
-use cicadashift_core::membership::detector::Probe;
+use cicadashift_core::membership::detector::Action;
 use cicadashift_core::membership::gossip::RECORDS_PER_DATAGRAM;
 use cicadashift_core::membership::record::Health;
 use cicadashift_http::exec;
@@ -88,21 +88,21 @@
     }
 }
 
-async fn act(d: &Arc<Daemon>, probe: Probe) {
+async fn act(d: &Arc<Daemon>, probe: Action) {
     match probe {
-        Probe::Direct(target) => send(d, target, Kind::Ping, Vec::new()).await,
-        Probe::Indirect { helper, target } => {
+        Action::DirectProbe(target) => send(d, target, Kind::Ping, Vec::new()).await,
+        Action::IndirectProbe { helper, target } => {
             send(d, helper, Kind::PingFor { target }, Vec::new()).await;
         }
-        Probe::Suspect(host) => {
+        Action::Suspect(host) => {
             log::info!("member {} is suspected", d.members.name_of(host));
             d.members.believe(d, host, Health::Suspect);
         }
-        Probe::Dead(host) => {
+        Action::Dead(host) => {
             log::warn!("member {} is taken for dead", d.members.name_of(host));
             d.members.believe(d, host, Health::Dead);
         }
-        Probe::Paused(gap) => {
+        Action::Frozen(gap) => {
             log::warn!("this daemon was frozen for {gap:?}");
             d.metrics.incr("paused");
             rejoin(d).await;
--- a/src/daemon/limits.rs
+++ b/src/daemon/limits.rs
@@ -6,8 +6,8 @@
 use super::versions::Running;
 use super::{Daemon, datagrams, lock};
 use cicadashift_core::ids::HostKey;
-use cicadashift_core::limit::keeper::{Account, Part};
-use cicadashift_core::limit::share::Share;
+use cicadashift_core::limit::keeper::{Account, QuotaPart};
+use cicadashift_core::limit::share::Limiter;
 use cicadashift_core::limit::{Grant, LimitKey, NOTICE_EVERY, Notice, REPORT_EVERY, Usage};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
@@ -21,7 +21,7 @@
 #[derive(Default)]
 pub struct Limits {
     /// What this daemon may admit.
-    shares: [Mutex<HashMap<LimitKey, Share>>; SHARDS],
+    shares: [Mutex<HashMap<LimitKey, Limiter>>; SHARDS],
     /// Accounts of the limits that it keeps.
     accounts: Mutex<HashMap<LimitKey, Account>>,
     notices: Mutex<Notices>,
@@ -44,7 +44,7 @@
     /// the limit is held back.
     pub fn admit(&self, key: LimitKey, is_late: bool, now: Instant, random: u64) -> bool {
         let mut shares = lock(self.shard(key));
-        shares.entry(key).or_insert_with(|| Share::new(now)).admit(is_late, now, random)
+        shares.entry(key).or_insert_with(|| Limiter::new(now)).admit(is_late, now, random)
     }
 
     /// Takes in that a call which was admitted did not run after all.
@@ -57,7 +57,7 @@
     /// Returns the share of a limit's calls that is admitted here, and how many a second.
     pub fn admitting(&self, key: LimitKey, now: Instant) -> (u16, f64) {
         let shares = lock(self.shard(key));
-        shares.get(&key).map_or((Grant::ALL, 0.0), |share| share.admitting(now))
+        shares.get(&key).map_or((Grant::ALL, 0.0), |share| share.share_and_rate(now))
     }
 
     fn take_usages(&self, now: Instant) -> Vec<Usage> {
@@ -70,7 +70,7 @@
         usages
     }
 
-    fn shard(&self, key: LimitKey) -> &Mutex<HashMap<LimitKey, Share>> {
+    fn shard(&self, key: LimitKey) -> &Mutex<HashMap<LimitKey, Limiter>> {
         &self.shares[key.0 as usize % SHARDS]
     }
 }
@@ -110,7 +110,7 @@
             return Grant { key: usage.key, share: Grant::ALL };
         };
         let account = accounts.entry(usage.key).or_insert_with(|| Account::new(now));
-        account.report(usage, part, now);
+        account.add_usage(usage, part, now);
         account.grant(usage.key, part)
     };
     usages.iter().map(&mut grant).collect()
@@ -137,9 +137,9 @@
         Parts { running: d.versions.running(), live, lost }
     }
 
-    fn of(&self, key: LimitKey) -> Option<Part> {
+    fn of(&self, key: LimitKey) -> Option<QuotaPart> {
         let quota = self.running.table.organisations.as_ref()?.quota(key)?;
-        Some(Part::of(quota, self.live, self.lost))
+        Some(QuotaPart::of(quota, self.live, self.lost))
     }
 }
 
@@ -171,7 +171,7 @@
     let mut accounts = lock(&d.limits.accounts);
     accounts.retain(|_, account| !account.is_idle(now));
     let notice = |(key, account): (&LimitKey, &mut Account)| {
-        parts.of(*key).and_then(|part| account.notice(*key, part, now))
+        parts.of(*key).and_then(|part| account.reduced_grant(*key, part, now))
     };
     accounts.iter_mut().filter_map(notice).collect()
 }
@@ -194,7 +194,7 @@
     let now = d.clock.now();
     for grant in &notice.grants {
         let mut shares = lock(d.limits.shard(grant.key));
-        shares.entry(grant.key).or_insert_with(|| Share::new(now)).grant(*grant, now);
+        shares.entry(grant.key).or_insert_with(|| Limiter::new(now)).apply_grant(*grant, now);
     }
     for host in d.members.audience_at_once() {
         datagrams::tell_notice(d, host, notice.clone()).await;
@@ -206,7 +206,7 @@
     let now = d.clock.now();
     for grant in grants {
         if let Some(share) = lock(d.limits.shard(grant.key)).get_mut(&grant.key) {
-            share.grant(*grant, now);
+            share.apply_grant(*grant, now);
         }
     }
 }
--- a/src/daemon/liveness.rs
+++ b/src/daemon/liveness.rs
@@ -4,7 +4,7 @@
 
 use super::{Daemon, datagrams, lock};
 use cicadashift_core::ids::HostKey;
-use cicadashift_core::membership::liveness::Look;
+use cicadashift_core::membership::liveness::Check;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
 pub fn heard(d: &Daemon, host: HostKey) {
     let (was_silent, may_be_presumed) = {
         let mut liveness = lock(&d.liveness);
-        let was_silent = liveness.heard(host, d.clock.now());
-        (was_silent, was_silent && liveness.is_any_presumed())
+        let was_silent = liveness.received(host, d.clock.now());
+        (was_silent, was_silent && liveness.has_presumed())
     };
     if !was_silent {
         return;
@@ -32,7 +32,7 @@
     log::info!("host {} gives signs of life again", d.members.name_of(host));
     d.services.set_silent(host, false);
     if may_be_presumed {
-        let back = lock(&d.liveness).unpresume(&d.members.beside(host));
+        let back = lock(&d.liveness).clear_presumed(&d.members.beside(host));
         back.into_iter().for_each(|host| d.services.set_silent(host, false));
     }
 }
@@ -41,7 +41,7 @@
 /// silent, to find out when they are back.
 pub async fn round(d: &Daemon, since_last: Duration) {
     if since_last >= STOOD_STILL {
-        lock(&d.liveness).forgive(d.clock.now());
+        lock(&d.liveness).reset(d.clock.now());
     }
     let mut hosts = lock(&d.liveness).silent_hosts();
     fastrand::shuffle(&mut hosts);
@@ -63,9 +63,9 @@
         smol::Timer::after(LOOK_EVERY).await;
         let now = d.clock.now();
         match look(d, host) {
-            Look::Wait => {}
-            Look::Ping => datagrams::ping(d, host).await,
-            Look::Silent => {
+            Check::Wait => {}
+            Check::Ping => datagrams::ping(d, host).await,
+            Check::Silent => {
                 note_silent(d, host);
                 if now.saturating_duration_since(started) >= OWN_WAIT {
                     return;
@@ -75,13 +75,13 @@
     }
 }
 
-fn look(d: &Daemon, host: HostKey) -> Look {
-    lock(&d.liveness).look(host, d.clock.now())
+fn look(d: &Daemon, host: HostKey) -> Check {
+    lock(&d.liveness).check(host, d.clock.now())
 }
 
 fn note_silent(d: &Daemon, host: HostKey) {
     let now = d.clock.now();
-    if !lock(&d.liveness).found_silent(host, now) {
+    if !lock(&d.liveness).mark_silent(host, now) {
         return;
     }
     log::warn!("host {} gives no sign of life and gets no calls", d.members.name_of(host));
@@ -90,7 +90,7 @@
     if !d.members.is_far(host) {
         return;
     }
-    let presumed = lock(&d.liveness).presume(&d.members.beside(host), now);
+    let presumed = lock(&d.liveness).presume_silent(&d.members.beside(host), now);
     if !presumed.is_empty() {
         let count = presumed.len();
         log::warn!("nothing is heard of its failure domain: {count} more hosts get no calls");
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -3,9 +3,9 @@
 use super::{Daemon, lock};
 use crate::settings::{InterfaceKind, Settings};
 use cicadashift_core::ids::{HostKey, Incarnation};
-use cicadashift_core::membership::detector::{Detector, Probe};
+use cicadashift_core::membership::detector::{Action, Detector};
 use cicadashift_core::membership::gossip::{
-    Audience, BRIDGES, DATAGRAMS_PER_ROUND, GOSSIP_FANOUT, Queue, RECORDS_PER_DATAGRAM,
+    BRIDGES, Candidates, DATAGRAMS_PER_ROUND, GOSSIP_FANOUT, Queue, RECORDS_PER_DATAGRAM,
 };
 use cicadashift_core::membership::record::{Endpoint, Health, Record};
 use cicadashift_core::membership::table::{Applied, Comparison, JournalPos, Table};
@@ -186,7 +186,7 @@
     pub fn believe(&self, d: &Daemon, host: HostKey, health: Health) {
         let changed = {
             let mut inner = lock(&self.inner);
-            let record = inner.table.believe(host, health, d.clock.now());
+            let record = inner.table.set_health(host, health, d.clock.now());
             record.map(|record| inner.queue.push(record.host, record)).is_some()
         };
         if changed {
@@ -200,7 +200,7 @@
     }
 
     /// Returns the probes that are due.
-    pub fn tick(&self, now: Instant, random: u64) -> Vec<Probe> {
+    pub fn tick(&self, now: Instant, random: u64) -> Vec<Action> {
         let mut inner = lock(&self.inner);
         inner.table.sweep(now);
         let others = inner.others(self.me, self.scope());
@@ -212,7 +212,7 @@
         let inner = lock(&self.inner);
         let mut near = inner.table.live(Some(&self.domain));
         near.retain(|host| *host != self.me);
-        let mut audience = Audience { near, ..Audience::default() };
+        let mut audience = Candidates { near, ..Candidates::default() };
         if self.flat {
             let others = inner.table.domains().into_iter().filter(|domain| *domain != self.domain);
             audience.far = others.map(|domain| inner.widest(&domain)).collect();
@@ -221,7 +221,7 @@
                 inner.widest(&self.domain).iter().take(BRIDGES).any(|h| *h == self.me);
         }
         drop(inner);
-        audience.draw(|most| fastrand::usize(..most.max(1)))
+        audience.sample(|most| fastrand::usize(..most.max(1)))
     }
 
     /// Returns whom news go to that every daemon is to have within milliseconds: all
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -65,7 +65,7 @@
         flight.end(Outcome::Unreached);
         return Got::None(Attempt::unreached(), "unreached");
     };
-    lock(&d.liveness).asked(target.host, started);
+    lock(&d.liveness).call_sent(target.host, started);
     let cx = context(d, work, target, left, patience, started);
     let req = request(work, body);
     let is_far = target.place == Place::Far;
