--- a/crates/core/src/request/gate/admit.rs
+++ b/crates/core/src/request/gate/admit.rs
@@ -4,7 +4,7 @@
 use super::times::Times;
 use super::{Admission, Arrival, CallerKey, End, KindKey, Refusal, Ticket, Wake};
 use crate::config::Priority;
-use crate::request::spread;
+use crate::request::jitter;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
@@ -99,24 +99,24 @@
     }
 
     /// Returns the mean time that a call takes at the upstream.
-    pub fn mean(&self) -> Duration {
+    pub fn mean_service_time(&self) -> Duration {
         self.times.mean
     }
 
     /// Returns the mean time that a call of a kind takes at the upstream.
-    pub fn time_of(&self, kind: KindKey) -> Duration {
+    pub fn service_time(&self, kind: KindKey) -> Duration {
         self.times.of(kind)
     }
 
     /// Returns the share of the calls sent to it that the upstream takes.
-    pub fn accepts(&self, now: Instant) -> f64 {
+    pub fn acceptance_rate(&self, now: Instant) -> f64 {
         let (share, at) = self.refused;
         let idle = at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         1.0 - share * 0.5_f64.powf(idle.as_secs_f64() / FORGIVE.as_secs_f64())
     }
 
     fn observe_refusal(&mut self, refused: bool, now: Instant) {
-        let share = 1.0 - self.accepts(now);
+        let share = 1.0 - self.acceptance_rate(now);
         let new = if refused { 1.0 } else { 0.0 };
         self.refused = (share + ACCEPT_SMOOTHING * (new - share), Some(now));
     }
@@ -159,13 +159,13 @@
             if for_token > for_slot {
                 return self.refuse_over_limit(for_token, now);
             }
-            return Admission::Refuse(Refusal::Busy { retry_after: spread(wait, random) });
+            return Admission::Refuse(Refusal::Busy { retry_after: jitter(wait, random) });
         }
-        if arrival.most_wait.is_zero() || wait > arrival.most_wait {
-            return Admission::Refuse(Refusal::Full { retry_after: spread(wait, random) });
+        if arrival.max_wait.is_zero() || wait > arrival.max_wait {
+            return Admission::Refuse(Refusal::Full { retry_after: jitter(wait, random) });
         }
         if self.queue.len() >= MAX_QUEUE {
-            return Admission::Refuse(Refusal::QueueFull { retry_after: spread(wait, random) });
+            return Admission::Refuse(Refusal::QueueFull { retry_after: jitter(wait, random) });
         }
         self.enqueue(ticket, arrival);
         Admission::Wait(ticket)
--- a/crates/core/src/request/gate/mod.rs
+++ b/crates/core/src/request/gate/mod.rs
@@ -75,7 +75,7 @@
     pub kind: KindKey,
     /// How long it may be expected to wait here; a caller that can ask elsewhere gives
     /// none.
-    pub most_wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// Names a kind of call.
--- a/crates/core/src/request/link.rs
+++ b/crates/core/src/request/link.rs
@@ -48,7 +48,7 @@
 
 /// Names one large answer; the order is the order of turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Turn {
+pub struct TransferId {
     /// When it would end if it had the link to itself from its arrival on: short
     /// ones overtake long ones, but none is overtaken for ever.
     due: Instant,
@@ -57,15 +57,15 @@
 
 /// A call whose answer will be large.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Large {
+pub struct LargeAnswer {
     /// Bytes of the answer.
     pub bytes: u64,
     /// Time that the upstream needs.
-    pub needed: Duration,
+    pub service_time: Duration,
     /// What is left of the time in which the answer is worth most.
-    pub left: Duration,
+    pub time_left: Duration,
     /// How long the link may be busy.
-    pub most: Duration,
+    pub max_backlog: Duration,
 }
 
 /// What one large answer has yet to send.
@@ -83,7 +83,7 @@
     rate: f64,
     /// When all that was handed over will have left.
     free_at: Option<Instant>,
-    sending: BTreeMap<Turn, Sending>,
+    sending: BTreeMap<TransferId, Sending>,
     next: u64,
     /// Mean bytes of an answer, by kind of call.
     sizes: HashMap<KindKey, f64>,
@@ -106,12 +106,12 @@
     }
 
     /// Returns the time that bytes take.
-    pub fn time_of(&self, bytes: u64) -> Duration {
+    pub fn transmission_time(&self, bytes: u64) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.rate)
     }
 
     /// Returns how long the link is busy with what was handed over.
-    pub fn handed_over(&self, now: Instant) -> Duration {
+    pub fn busy_for(&self, now: Instant) -> Duration {
         self.free_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(now))
     }
 
@@ -122,15 +122,15 @@
     }
 
     /// Takes in bytes that were sent without waiting.
-    pub fn sent(&mut self, bytes: u64, now: Instant) {
+    pub fn record_sent(&mut self, bytes: u64, now: Instant) {
         let from = self.free_at.map_or(now, |at| at.max(now));
-        self.free_at = Some(from + self.time_of(bytes));
+        self.free_at = Some(from + self.transmission_time(bytes));
     }
 
     /// Takes in that a large answer is going to be sent.
-    pub fn join(&mut self, bytes: u64, now: Instant) -> Turn {
+    pub fn start_transfer(&mut self, bytes: u64, now: Instant) -> TransferId {
         self.next += 1;
-        let turn = Turn { due: now + self.time_of(bytes), number: self.next };
+        let turn = TransferId { due: now + self.transmission_time(bytes), number: self.next };
         self.sending.insert(turn, Sending { left: bytes, waiting: false });
         turn
     }
@@ -140,15 +140,20 @@
     /// # Errors
     ///
     /// Returns after what time to ask again.
-    pub fn ask(&mut self, turn: Turn, bytes: u64, now: Instant) -> Result<(), Duration> {
-        let busy = self.handed_over(now);
+    pub fn request_piece(
+        &mut self,
+        turn: TransferId,
+        bytes: u64,
+        now: Instant,
+    ) -> Result<(), Duration> {
+        let busy = self.busy_for(now);
         let before = self.sending.range(..turn).filter(|(_, other)| other.waiting).count();
         if before == 0 && busy <= AHEAD {
             if let Some(sending) = self.sending.get_mut(&turn) {
                 sending.left = sending.left.saturating_sub(bytes);
                 sending.waiting = false;
             }
-            self.sent(bytes, now);
+            self.record_sent(bytes, now);
             return Ok(());
         }
         if let Some(sending) = self.sending.get_mut(&turn) {
@@ -159,12 +164,12 @@
     }
 
     /// Takes in that a large answer has ended or was given up.
-    pub fn leave(&mut self, turn: Turn) {
+    pub fn end_transfer(&mut self, turn: TransferId) {
         self.sending.remove(&turn);
     }
 
     /// Takes in the size of an answer.
-    pub fn observe(&mut self, kind: KindKey, bytes: u64) {
+    pub fn observe_size(&mut self, kind: KindKey, bytes: u64) {
         let has_room = self.sizes.len() < KINDS_KEPT;
         match self.sizes.get_mut(&kind) {
             Some(mean) => *mean += SIZE_SMOOTHING * (bytes as f64 - *mean),
@@ -176,7 +181,7 @@
     }
 
     /// Returns the bytes of a kind's answers where they are large.
-    pub fn large(&self, kind: KindKey) -> Option<u64> {
+    pub fn large_size(&self, kind: KindKey) -> Option<u64> {
         let bytes = *self.sizes.get(&kind)? as u64;
         (bytes > SMALL_BYTES).then_some(bytes)
     }
@@ -193,17 +198,17 @@
     /// Returns how long the link is busy with what was handed over, waits or is
     /// expected.
     pub fn backlog(&self, now: Instant) -> Duration {
-        let busy = self.handed_over(now);
+        let busy = self.busy_for(now);
         let left: u64 = self.sending.values().map(|sending| sending.left).sum();
-        busy + self.time_of(left + self.expected)
+        busy + self.transmission_time(left + self.expected)
     }
 
     /// Returns how long one more large answer of the usual size would take to
     /// leave; `None` where there are no large ones.
-    pub fn usual_wait(&self, now: Instant) -> Option<Duration> {
+    pub fn estimated_transfer_time(&self, now: Instant) -> Option<Duration> {
         let large = self.sizes.values().filter(|bytes| **bytes > SMALL_BYTES as f64);
         let bytes = large.copied().reduce(f64::max)?;
-        Some(self.backlog(now) + self.time_of(bytes as u64))
+        Some(self.backlog(now) + self.transmission_time(bytes as u64))
     }
 
     /// Returns how long a call's large answer would take to leave, were the call
@@ -215,11 +220,11 @@
     /// # Errors
     ///
     /// Returns how long the link is busy.
-    pub fn room_for(&self, large: Large, now: Instant) -> Result<Duration, Duration> {
+    pub fn admit_answer(&self, large: LargeAnswer, now: Instant) -> Result<Duration, Duration> {
         let backlog = self.backlog(now);
-        let on_link = backlog + self.time_of(large.bytes);
-        let is_late = on_link + large.needed > large.left;
-        if backlog > AHEAD && (is_late || backlog > large.most) {
+        let on_link = backlog + self.transmission_time(large.bytes);
+        let is_late = on_link + large.service_time > large.time_left;
+        if backlog > AHEAD && (is_late || backlog > large.max_backlog) {
             return Err(backlog);
         }
         Ok(on_link)
--- a/crates/core/src/request/mod.rs
+++ b/crates/core/src/request/mod.rs
@@ -31,7 +31,7 @@
 ///
 /// Failure: all callers refused in one moment come back in one moment. Symptom:
 /// the overload repeats at a regular beat. `random` is any number.
-pub fn spread(wait: Duration, random: u64) -> Duration {
+pub fn jitter(wait: Duration, random: u64) -> Duration {
     let share = 0.5 + (random % 1024) as f64 / 1024.0;
     wait.mul_f64(share).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -1,6 +1,6 @@
 //! Whether a call may be sent again, and what its caller is told if not.
 
-use super::{MIN_RETRY_AFTER, spread};
+use super::{MIN_RETRY_AFTER, jitter};
 use std::time::{Duration, Instant};
 
 /// Most times one call is sent to an upstream, the first included.
@@ -29,18 +29,18 @@
     }
 
     /// Returns whether the attempt reached an upstream, or may have.
-    pub fn has_arrived(&self) -> bool {
+    pub fn may_have_arrived(&self) -> bool {
         !matches!(self, Attempt::NotRun { arrived: false, .. })
     }
 }
 
 /// What to do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Pass the answer on.
     Answer,
     /// Send it to another upstream.
-    Again,
+    Retry,
     /// Tell the caller that it did not run, and when to come back.
     Refuse { retry_after: Duration },
     /// Tell the caller that it may have run.
@@ -74,7 +74,7 @@
 /// may have given one a daemon more than they held. Where a daemon sends a call in several
 /// seconds only, part of what it earns is forgotten before it is used.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Retries that may be given; below zero is a debt.
     tokens: f64,
     /// What first attempts earned lately.
@@ -82,13 +82,13 @@
     earned_at: Option<Instant>,
 }
 
-/// What fills a [`Budget`].
+/// What fills a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     /// Share of a retry that each first attempt earns.
-    pub earned: f64,
+    pub earned_per_attempt: f64,
     /// Most retries saved up beside those earned lately.
-    pub saved: f64,
+    pub max_saved: f64,
     /// Time for which what was earned may be saved.
     pub saved_for: Duration,
 }
@@ -96,10 +96,10 @@
 /// Steps of the chance of a part of a retry.
 const CHANCES: u64 = 1024;
 
-impl Budget {
+impl RetryBudget {
     /// Makes a budget with half of what may be saved.
-    pub fn new(allowance: Allowance) -> Budget {
-        Budget { tokens: allowance.saved / 2.0, recent: 0.0, earned_at: None }
+    pub fn new(allowance: Allowance) -> RetryBudget {
+        RetryBudget { tokens: allowance.max_saved / 2.0, recent: 0.0, earned_at: None }
     }
 
     /// Records a first attempt.
@@ -108,8 +108,9 @@
         self.earned_at = Some(now);
         let over = allowance.saved_for.as_secs_f64().max(f64::MIN_POSITIVE);
         self.recent *= (-passed.as_secs_f64() / over).exp();
-        self.recent += allowance.earned;
-        self.tokens = (self.tokens + allowance.earned).min(allowance.saved + self.recent);
+        self.recent += allowance.earned_per_attempt;
+        self.tokens =
+            (self.tokens + allowance.earned_per_attempt).min(allowance.max_saved + self.recent);
     }
 
     /// Takes a retry if there is one; `random` is any number.
@@ -126,7 +127,7 @@
 
 /// One call's attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct CallState {
     /// Whether the configuration allows a second execution.
     pub repeatable: bool,
     /// Whether the body can be sent again.
@@ -136,51 +137,51 @@
     /// Attempts that reached an upstream, or may have.
     pub arrivals: u32,
     /// Attempts that calls above this one left to it.
-    pub allowed: u32,
+    pub max_attempts: u32,
     /// Whether an earlier attempt ended unknown.
     pub may_have_run: bool,
 }
 
-impl Call {
+impl CallState {
     /// Decides what follows an attempt.
     ///
     /// `left` is what remains of the deadline; `random` spreads the time to come
     /// back. A retry is taken from the budget only when it is made.
-    pub fn after(
+    pub fn decide(
         &self,
         attempt: Attempt,
         left: Duration,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
         random: u64,
-    ) -> Verdict {
+    ) -> RetryDecision {
         match attempt {
-            Attempt::Answered => Verdict::Answer,
+            Attempt::Answered => RetryDecision::Answer,
             Attempt::NotRun { retry_after, arrived } => {
                 if self.may_repeat(left) && (!arrived || budget.spend(random)) {
-                    return Verdict::Again;
+                    return RetryDecision::Retry;
                 }
                 // Failure: the first attempt ran and its answer was lost, the
                 // second was refused. Symptom: the caller is told "not run" of
                 // what ran. The last attempt speaks only for itself.
                 if self.may_have_run {
-                    return Verdict::Unknown;
+                    return RetryDecision::Unknown;
                 }
-                Verdict::Refuse { retry_after: spread(retry_after, random) }
+                RetryDecision::Refuse { retry_after: jitter(retry_after, random) }
             }
             Attempt::Unknown => {
                 // Failure: the answer is lost after the upstream ran the call.
                 // Symptom: a notice is published twice. Only what the
                 // configuration calls repeatable is sent again.
                 if self.repeatable && self.may_repeat(left) && budget.spend(random) {
-                    return Verdict::Again;
+                    return RetryDecision::Retry;
                 }
-                Verdict::Unknown
+                RetryDecision::Unknown
             }
         }
     }
 
     fn may_repeat(&self, left: Duration) -> bool {
-        let room = self.arrivals < self.allowed && self.attempts < MAX_ASKED;
+        let room = self.arrivals < self.max_attempts && self.attempts < MAX_ASKED;
         self.replayable && room && !left.is_zero()
     }
 }
--- a/crates/core/src/request/returning.rs
+++ b/crates/core/src/request/returning.rs
@@ -11,7 +11,7 @@
 //!
 //! # Limits
 //!
-//! Two callers whose moments lie within [`SAME_MOMENT`] of each other are taken for
+//! Two callers whose moments lie within [`DEADLINE_TOLERANCE`] of each other are taken for
 //! one another. With twelve calls of a kind refused and not yet back, one in twenty
 //! fresh ones is, and counts as older than it is. Callers that come back to another
 //! daemon count as fresh.
@@ -22,22 +22,28 @@
 
 /// How far apart the ends of two attempts of one caller may lie: both are told in
 /// whole milliseconds, and a way to us varies by as much.
-pub const SAME_MOMENT: Duration = Duration::from_millis(2);
+pub const DEADLINE_TOLERANCE: Duration = Duration::from_millis(2);
 /// Most refused calls remembered.
 const KEPT: usize = 4096;
 
 /// Calls that ended without an answer, by kind and the moment until which their
 /// callers wait.
 #[derive(Clone, Debug, Default)]
-pub struct Returning {
+pub struct ReturningCallers {
     by_kind: HashMap<KindKey, BTreeMap<Instant, Instant>>,
     count: usize,
 }
 
-impl Returning {
+impl ReturningCallers {
     /// Takes in that a call was given no answer; `since` is when its caller first came,
     /// `until` how long it waits.
-    pub fn sent_away(&mut self, kind: KindKey, since: Instant, until: Instant, now: Instant) {
+    pub fn record_unanswered(
+        &mut self,
+        kind: KindKey,
+        since: Instant,
+        until: Instant,
+        now: Instant,
+    ) {
         if self.count >= KEPT {
             self.forget(now);
         }
@@ -50,10 +56,10 @@
 
     /// Returns when the caller of a call first came, if it was sent away before; each
     /// is found once.
-    pub fn first_came(&mut self, kind: KindKey, until: Instant) -> Option<Instant> {
+    pub fn take_first_arrival(&mut self, kind: KindKey, until: Instant) -> Option<Instant> {
         let sent_away = self.by_kind.get_mut(&kind)?;
-        let from = until.checked_sub(SAME_MOMENT)?;
-        let nearby = sent_away.range(from..=until + SAME_MOMENT).map(|(key, _)| *key);
+        let from = until.checked_sub(DEADLINE_TOLERANCE)?;
+        let nearby = sent_away.range(from..=until + DEADLINE_TOLERANCE).map(|(key, _)| *key);
         let distance = |key: &Instant| key.max(&until).duration_since(*key.min(&until));
         let key = nearby.min_by_key(distance)?;
         self.count -= 1;
--- a/crates/core/tests/named_limits.rs
+++ b/crates/core/tests/named_limits.rs
@@ -176,7 +176,7 @@
             priority: Priority(1),
             caller: CallerKey(attempt as u64),
             kind: KIND,
-            most_wait: Duration::MAX,
+            max_wait: Duration::MAX,
         };
         let random = self.rng.u64(..);
         match self.upstreams[upstream].gate.admit(arrival, self.now, random) {
@@ -208,7 +208,7 @@
         let gate = &mut self.upstreams[upstream].gate;
         Told {
             load: Some((gate.running() + gate.queued()) as u16),
-            accepts: Some(gate.accepts(self.now)),
+            accepts: Some(gate.acceptance_rate(self.now)),
             next_token: gate.schedule_retry(self.now),
         }
     }
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -12,7 +12,7 @@
 use cicadashift_core::request::gate::{
     Admission, Arrival, CallerKey, End, Gate, KindKey, Ticket, Wake,
 };
-use cicadashift_core::request::retry::{Allowance, Attempt, Budget, Call, Verdict};
+use cicadashift_core::request::retry::{Allowance, Attempt, CallState, RetryBudget, RetryDecision};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
 }
 
 const ALLOWANCE: Allowance =
-    Allowance { earned: 0.2, saved: 20.0, saved_for: Duration::from_secs(5) };
+    Allowance { earned_per_attempt: 0.2, max_saved: 20.0, saved_for: Duration::from_secs(5) };
 
 proptest! {
     #[test]
@@ -91,7 +91,7 @@
                         priority,
                         caller,
                         kind: KindKey::default(),
-                        most_wait: if patient { Duration::MAX } else { Duration::ZERO },
+                        max_wait: if patient { Duration::MAX } else { Duration::ZERO },
                     };
                     match gate.admit(arrival, now, 7) {
                         Admission::Run(ticket) => {
@@ -140,7 +140,7 @@
         attempts in proptest::collection::vec(0_u8..3, 1..8),
         repeatable in any::<bool>(),
     ) {
-        let mut budget = Budget::new(ALLOWANCE);
+        let mut budget = RetryBudget::new(ALLOWANCE);
         let mut may_have_run = false;
         for (i, attempt) in attempts.into_iter().enumerate() {
             let attempt = match attempt {
@@ -149,19 +149,19 @@
                 _ => Attempt::Answered,
             };
             let attempts = i as u32 + 1;
-            let call = Call {
+            let call = CallState {
                 repeatable,
                 replayable: true,
                 attempts,
                 arrivals: attempts,
-                allowed: 3,
+                max_attempts: 3,
                 may_have_run,
             };
-            let verdict = call.after(attempt, Duration::from_secs(1), &mut budget, 3);
+            let verdict = call.decide(attempt, Duration::from_secs(1), &mut budget, 3);
             may_have_run |= attempt == Attempt::Unknown;
-            let again = verdict == Verdict::Again;
+            let again = verdict == RetryDecision::Retry;
             prop_assert!(!(again && may_have_run && !repeatable), "sent again after unknown");
-            let refused = matches!(verdict, Verdict::Refuse { .. });
+            let refused = matches!(verdict, RetryDecision::Refuse { .. });
             prop_assert!(!(refused && may_have_run), "told not run of what may have run");
             if !again {
                 break;
@@ -172,7 +172,7 @@
     #[test]
     fn a_budget_bounds_retries(calls in 1_u32..500) {
         let now = Instant::now();
-        let mut budget = Budget::new(ALLOWANCE);
+        let mut budget = RetryBudget::new(ALLOWANCE);
         let mut spent = 0;
         for _ in 0..calls {
             budget.earn(ALLOWANCE, now);
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Retries that all daemons together add to a service, on a virtual clock: meshes of
 //! several sizes, each daemon with its own budget, under a service that sheds.
 
-use cicadashift_core::request::retry::{Allowance, Budget};
+use cicadashift_core::request::retry::{Allowance, RetryBudget};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
@@ -29,12 +29,12 @@
 /// service sheds a share of them.
 fn shedding(daemons: usize, rate: f64, share: f64, seed: u64) -> Seen {
     let allowance = Allowance {
-        earned: RATIO * USED,
-        saved: SLACK * SLACK_USED / daemons as f64,
+        earned_per_attempt: RATIO * USED,
+        max_saved: SLACK * SLACK_USED / daemons as f64,
         saved_for: SAVED_FOR,
     };
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut budgets: Vec<_> = (0..daemons).map(|_| Budget::new(allowance)).collect();
+    let mut budgets: Vec<_> = (0..daemons).map(|_| RetryBudget::new(allowance)).collect();
     let start = Instant::now();
     let mut seen = Seen { shed: 0, retries: 0, most: 0, calls: rate * WINDOW.as_secs_f64() };
     let mut window = VecDeque::new();
@@ -96,12 +96,12 @@
     const SLACK_OF_NINE: f64 = 56.0;
     const CALLS: [f64; 2] = [0.93, 0.55];
     let allowance = Allowance {
-        earned: RATIO * USED,
-        saved: SLACK_OF_NINE * SLACK_USED / daemons as f64,
+        earned_per_attempt: RATIO * USED,
+        max_saved: SLACK_OF_NINE * SLACK_USED / daemons as f64,
         saved_for: SAVED_FOR,
     };
     let mut rng = fastrand::Rng::with_seed(seed);
-    let fresh = || (0..daemons).map(|_| Budget::new(allowance)).collect::<Vec<_>>();
+    let fresh = || (0..daemons).map(|_| RetryBudget::new(allowance)).collect::<Vec<_>>();
     let (mut caller, mut called) = (fresh(), fresh());
     let start = Instant::now();
     let mut window = VecDeque::new();
--- a/crates/core/tests/returning.rs
+++ b/crates/core/tests/returning.rs
@@ -1,7 +1,7 @@
 //! Recognizing callers that come back after a refusal.
 
 use cicadashift_core::request::gate::KindKey;
-use cicadashift_core::request::returning::{Returning, SAME_MOMENT};
+use cicadashift_core::request::returning::{DEADLINE_TOLERANCE, ReturningCallers};
 use std::time::{Duration, Instant};
 
 const LOOKUP: KindKey = KindKey(1);
@@ -17,21 +17,21 @@
 #[test]
 fn a_caller_is_known_by_the_moment_until_which_it_waits() {
     let start = Instant::now();
-    let mut returning = Returning::default();
+    let mut returning = ReturningCallers::default();
     let until = start + ms(2300);
-    assert_eq!(returning.first_came(LOOKUP, until), None);
-    returning.sent_away(LOOKUP, start, until, start + ms(2));
+    assert_eq!(returning.take_first_arrival(LOOKUP, until), None);
+    returning.record_unanswered(LOOKUP, start, until, start + ms(2));
 
     let stranger = start + ms(90) + ms(2120);
-    assert_eq!(returning.first_came(LOOKUP, stranger), None);
+    assert_eq!(returning.take_first_arrival(LOOKUP, stranger), None);
     let again = start + ms(181) + ms(2120);
-    assert_eq!(returning.first_came(PAYMENT, again), None, "a call of another kind");
-    assert_eq!(returning.first_came(LOOKUP, again), Some(start));
-    assert_eq!(returning.first_came(LOOKUP, again), None, "each is found once");
+    assert_eq!(returning.take_first_arrival(PAYMENT, again), None, "a call of another kind");
+    assert_eq!(returning.take_first_arrival(LOOKUP, again), Some(start));
+    assert_eq!(returning.take_first_arrival(LOOKUP, again), None, "each is found once");
 
-    returning.sent_away(LOOKUP, start, again, start + ms(183));
+    returning.record_unanswered(LOOKUP, start, again, start + ms(183));
     let third = start + ms(520) + ms(1780);
-    assert_eq!(returning.first_came(LOOKUP, third), Some(start));
+    assert_eq!(returning.take_first_arrival(LOOKUP, third), Some(start));
 }
 
 // Two callers wait until nearly the same moment. Whoever comes back is taken for the
@@ -39,12 +39,12 @@
 #[test]
 fn the_nearest_moment_is_taken() {
     let start = Instant::now();
-    let mut returning = Returning::default();
-    returning.sent_away(LOOKUP, start, start + ms(1000), start);
-    returning.sent_away(LOOKUP, start + ms(5), start + ms(1003), start + ms(5));
-    assert_eq!(returning.first_came(LOOKUP, start + ms(1002)), Some(start + ms(5)));
-    assert_eq!(returning.first_came(LOOKUP, start + ms(1002)), Some(start));
-    assert_eq!(returning.first_came(LOOKUP, start + ms(1002) + SAME_MOMENT), None);
+    let mut returning = ReturningCallers::default();
+    returning.record_unanswered(LOOKUP, start, start + ms(1000), start);
+    returning.record_unanswered(LOOKUP, start + ms(5), start + ms(1003), start + ms(5));
+    assert_eq!(returning.take_first_arrival(LOOKUP, start + ms(1002)), Some(start + ms(5)));
+    assert_eq!(returning.take_first_arrival(LOOKUP, start + ms(1002)), Some(start));
+    assert_eq!(returning.take_first_arrival(LOOKUP, start + ms(1002) + DEADLINE_TOLERANCE), None);
 }
 
 // A flood of refusals: what is remembered stays bounded, and is forgotten once the
@@ -52,18 +52,19 @@
 #[test]
 fn a_flood_of_refusals_is_remembered_in_part() {
     let start = Instant::now();
-    let mut returning = Returning::default();
+    let mut returning = ReturningCallers::default();
     let until = |i: u64| start + ms(1000) + Duration::from_micros(10 * i);
     for i in 0..20_000 {
-        returning.sent_away(LOOKUP, start, until(i), start);
+        returning.record_unanswered(LOOKUP, start, until(i), start);
     }
-    let known = (0..20_000).filter(|i| returning.first_came(LOOKUP, until(*i)).is_some()).count();
+    let known =
+        (0..20_000).filter(|i| returning.take_first_arrival(LOOKUP, until(*i)).is_some()).count();
     for i in 0..20_000 {
-        returning.sent_away(LOOKUP, start, until(i), start);
+        returning.record_unanswered(LOOKUP, start, until(i), start);
     }
     let later = start + ms(5000);
-    returning.sent_away(PAYMENT, later, later + ms(700), later);
-    let payment = returning.first_came(PAYMENT, later + ms(700));
+    returning.record_unanswered(PAYMENT, later, later + ms(700), later);
+    let payment = returning.take_first_arrival(PAYMENT, later + ms(700));
     insta::assert_snapshot!(
         format!("{known} known; later one known: {}", payment == Some(later)),
         @"4096 known; later one known: true"
--- a/crates/core/tests/scenarios/requests.rs
+++ b/crates/core/tests/scenarios/requests.rs
@@ -10,8 +10,8 @@
 use cicadashift_core::request::gate::{
     Admission, Arrival, CallerKey, End, Gate, KindKey, Ticket, Wake,
 };
-use cicadashift_core::request::link::{self, Link, Turn};
-use cicadashift_core::request::retry::{Allowance, Attempt, Budget, Call, Verdict};
+use cicadashift_core::request::link::{self, Link, TransferId};
+use cicadashift_core::request::retry::{Allowance, Attempt, CallState, RetryBudget, RetryDecision};
 use datadriven::TestCase;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
     names: HashMap<Ticket, String>,
     picker: Picker,
     known: Vec<Known>,
-    budget: Budget,
+    budget: RetryBudget,
     random: u64,
     link: Link,
     large: Vec<Large>,
@@ -32,7 +32,7 @@
 /// A large answer on its way over the link.
 struct Large {
     name: String,
-    turn: Turn,
+    turn: TransferId,
     left: u64,
     asks_at_ms: u64,
 }
@@ -46,7 +46,7 @@
             names: HashMap::new(),
             picker: Picker::new(Policy::ALL, HostKey::of("me")),
             known: Vec::new(),
-            budget: Budget::new(ALLOWANCE),
+            budget: RetryBudget::new(ALLOWANCE),
             random: 1,
             link: Link::new(5.0),
             large: Vec::new(),
@@ -111,13 +111,13 @@
 }
 
 const ALLOWANCE: Allowance =
-    Allowance { earned: 0.2, saved: 20.0, saved_for: Duration::from_secs(5) };
+    Allowance { earned_per_attempt: 0.2, max_saved: 20.0, saved_for: Duration::from_secs(5) };
 
 impl World {
     fn join_link(&mut self, case: &TestCase) -> String {
         for name in list(case, "answer") {
             let left = number(case, "bytes", 90_000);
-            let turn = self.link.join(left, self.now());
+            let turn = self.link.start_transfer(left, self.now());
             self.large.push(Large { name, turn, left, asks_at_ms: self.now_ms });
         }
         self.tell_backlog()
@@ -125,10 +125,10 @@
 
     /// Hands a small answer over and says when its last byte has left.
     fn send_small(&mut self, case: &TestCase) -> String {
-        let before = self.link.handed_over(self.now());
+        let before = self.link.busy_for(self.now());
         let bytes = number(case, "bytes", 1000);
-        self.link.sent(bytes, self.now());
-        let behind = (before + self.link.time_of(bytes)).as_millis();
+        self.link.record_sent(bytes, self.now());
+        let behind = (before + self.link.transmission_time(bytes)).as_millis();
         format!("has left after {behind} ms\n")
     }
 
@@ -142,12 +142,12 @@
                     continue;
                 }
                 let piece = large.left.min(self.link.piece() as u64);
-                match self.link.ask(large.turn, piece, now) {
+                match self.link.request_piece(large.turn, piece, now) {
                     Ok(()) => large.left -= piece,
                     Err(wait) => large.asks_at_ms = self.now_ms + wait.as_millis() as u64,
                 }
                 if large.left == 0 {
-                    self.link.leave(large.turn);
+                    self.link.end_transfer(large.turn);
                     out.push_str(&format!("{} is sent at {} ms\n", large.name, self.now_ms));
                 }
             }
@@ -159,13 +159,13 @@
 
     fn room(&mut self, case: &TestCase) -> String {
         let ms = |name, default| Duration::from_millis(number(case, name, default));
-        let large = link::Large {
+        let large = link::LargeAnswer {
             bytes: number(case, "bytes", 90_000),
-            needed: ms("needed", 130),
-            left: ms("left", 800),
-            most: ms("most", 10_000),
+            service_time: ms("needed", 130),
+            time_left: ms("left", 800),
+            max_backlog: ms("most", 10_000),
         };
-        match self.link.room_for(large, self.now()) {
+        match self.link.admit_answer(large, self.now()) {
             Ok(time) => format!("taken: {} ms on the link\n", time.as_millis()),
             Err(busy) => format!("refused: busy for {} ms\n", busy.as_millis()),
         }
@@ -196,11 +196,11 @@
                 ms => self.now() + Duration::from_millis(ms),
             };
             let kind = KindKey(HostKey::of(arg(case, "kind", "any")).0);
-            let most_wait = match case.args.contains_key("most_wait") {
+            let max_wait = match case.args.contains_key("most_wait") {
                 true => Duration::from_millis(number(case, "most_wait", 0)),
                 false => Duration::MAX,
             };
-            let arrival = Arrival { deadline, objective, priority, caller, kind, most_wait };
+            let arrival = Arrival { deadline, objective, priority, caller, kind, max_wait };
             let admitted = self.gate.admit(arrival, self.now(), 512);
             out.push_str(&match admitted {
                 Admission::Run(ticket) => {
@@ -373,12 +373,12 @@
     fn retry(&mut self, case: &TestCase) -> String {
         let attempts = number(case, "attempts", 1) as u32;
         let arrived = arg(case, "arrived", "yes") == "yes";
-        let call = Call {
+        let call = CallState {
             repeatable: arg(case, "repeatable", "no") == "yes",
             replayable: arg(case, "replayable", "yes") == "yes",
             attempts,
             arrivals: if arrived { attempts } else { 0 },
-            allowed: number(case, "allowed", 3) as u32,
+            max_attempts: number(case, "allowed", 3) as u32,
             may_have_run: arg(case, "earlier", "none") == "unknown",
         };
         let wait = Duration::from_millis(100);
@@ -390,11 +390,11 @@
         let left = Duration::from_millis(number(case, "left", 500));
         let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
         for _ in 0..number(case, "times", 1) {
-            let line = match call.after(attempt, left, &mut self.budget, 512) {
-                Verdict::Answer => "answer",
-                Verdict::Again => "again",
-                Verdict::Refuse { .. } => "refuse as not run",
-                Verdict::Unknown => "say that it is unknown",
+            let line = match call.decide(attempt, left, &mut self.budget, 512) {
+                RetryDecision::Answer => "answer",
+                RetryDecision::Retry => "again",
+                RetryDecision::Refuse { .. } => "refuse as not run",
+                RetryDecision::Unknown => "say that it is unknown",
             };
             *counts.entry(line).or_default() += 1;
         }
--- a/crates/measure/src/load/entry.rs
+++ b/crates/measure/src/load/entry.rs
@@ -6,7 +6,7 @@
 use cicadashift_core::request::MIN_RETRY_AFTER;
 use cicadashift_core::request::choose::{Demand, Outcome, Told, UpstreamKey};
 use cicadashift_core::request::gate::KindKey;
-use cicadashift_core::request::retry::{Attempt, Call, MAX_ATTEMPTS, Verdict};
+use cicadashift_core::request::retry::{Attempt, CallState, MAX_ATTEMPTS, RetryDecision};
 use std::time::Duration;
 
 /// What a request is given up before its caller does, as `src/daemon/request/entry.rs`
@@ -71,7 +71,7 @@
         let now = self.now();
         let (key, at) = (KindKey(kind.0 as u64), self.instant(until));
         let returning = &mut self.hosts[entry.0].returning;
-        let known = returning.first_came(key, at).filter(|_| self.switches.returning);
+        let known = returning.take_first_arrival(key, at).filter(|_| self.switches.returning);
         let first_came =
             known.map_or(now, |first| first.duration_since(self.instant(Duration::ZERO)));
         let request = Request {
@@ -163,7 +163,7 @@
         let life = name.split('@').next_back().and_then(|life| life.parse().ok()).unwrap_or(0);
         let has_room = self.hosts[entry.0].pickers[service].has_room(key, self.instant(now));
         let asks_free = self.switches.ask_free && self.requests[id.0].asked_free < ASKED_FREE;
-        let most_wait = if asks_free && has_room { Duration::ZERO } else { Duration::MAX };
+        let max_wait = if asks_free && has_room { Duration::ZERO } else { Duration::MAX };
         let way = self.way(entry, host);
         let back = self.way(host, entry);
         let stage = Stage::OnWay;
@@ -175,13 +175,13 @@
             demand,
             sent: now,
             back,
-            most_wait,
+            max_wait,
             stage,
         });
         let attempt = TryId(self.tries.len() - 1);
         let request = &mut self.requests[id.0];
         request.tried.push(key);
-        if most_wait.is_zero() {
+        if max_wait.is_zero() {
             request.full.push(key);
         }
         request.open.push(attempt);
@@ -265,30 +265,30 @@
             request.soonest = Some(soonest);
         }
         let may_have_run = request.may_have_run;
-        request.arrivals += u32::from(attempt.has_arrived());
+        request.arrivals += u32::from(attempt.may_have_arrived());
         request.may_have_run |= attempt == Attempt::Unknown;
         if !request.open.is_empty() {
             return;
         }
         let request = self.requests[id.0].clone();
-        let call = Call {
+        let call = CallState {
             repeatable: self.kinds[request.kind.0].1.repeatable,
             replayable: true,
             attempts: request.tried.len() as u32,
             arrivals: request.arrivals,
-            allowed: MAX_ATTEMPTS,
+            max_attempts: MAX_ATTEMPTS,
             may_have_run,
         };
         let left = request.deadline.saturating_sub(self.now());
         let (service, random) = (self.service_of_kind(request.kind), self.rng.u64(..));
         let budget = &mut self.hosts[request.entry.0].budgets[service];
-        match call.after(attempt, left, budget, random) {
-            Verdict::Again => self.pursue(id),
-            Verdict::Refuse { retry_after } => {
+        match call.decide(attempt, left, budget, random) {
+            RetryDecision::Retry => self.pursue(id),
+            RetryDecision::Refuse { retry_after } => {
                 let wait = request.soonest.unwrap_or(retry_after).max(MIN_RETRY_AFTER);
                 self.end(id, End::Refused(retry_after.min(wait)));
             }
-            Verdict::Answer | Verdict::Unknown => self.end(id, End::Failed),
+            RetryDecision::Answer | RetryDecision::Unknown => self.end(id, End::Failed),
         }
     }
 
@@ -321,7 +321,7 @@
             let (since, until) = (self.instant(first_came), self.instant(until));
             let now = self.instant(self.now());
             let returning = &mut self.hosts[entry.0].returning;
-            returning.sent_away(KindKey(kind.0 as u64), since, until, now);
+            returning.record_unanswered(KindKey(kind.0 as u64), since, until, now);
         }
         match parent {
             Parent::Caller(caller) => self.caller_ends(caller, end),
--- a/crates/measure/src/load/exit.rs
+++ b/crates/measure/src/load/exit.rs
@@ -31,13 +31,13 @@
     /// Time of the way back.
     pub back: Duration,
     /// How long it may wait at the gate.
-    pub most_wait: Duration,
+    pub max_wait: Duration,
     pub stage: Stage,
 }
 
 impl World {
     pub(super) fn at_exit(&mut self, attempt: TryId) {
-        let Try { request, host, life, demand, most_wait, .. } = self.tries[attempt.0];
+        let Try { request, host, life, demand, max_wait, .. } = self.tries[attempt.0];
         if self.tries[attempt.0].stage == Stage::Over {
             return;
         }
@@ -56,7 +56,7 @@
             priority: demand.priority,
             caller: CallerKey(self.requests[request.0].entry.0 as u64),
             kind: demand.kind,
-            most_wait,
+            max_wait,
         };
         let (at, random) = (self.instant(now), self.rng.u64(..));
         let state = &mut self.hosts[host.0];
@@ -88,7 +88,7 @@
         let gate = &self.hosts[host.0].gate;
         Told {
             load: Some((gate.running() + gate.queued()) as u16),
-            accepts: Some(gate.accepts(self.instant(self.now()))),
+            accepts: Some(gate.acceptance_rate(self.instant(self.now()))),
             next_token: None,
         }
     }
@@ -103,7 +103,7 @@
     fn run(&mut self, attempt: TryId, ticket: Ticket) {
         let host = self.tries[attempt.0].host;
         if self.rng.f64() < self.hosts[host.0].refuses {
-            let retry_after = self.hosts[host.0].gate.mean();
+            let retry_after = self.hosts[host.0].gate.mean_service_time();
             self.refuse(attempt, retry_after, true);
             return self.leave_gate(host, ticket, gate::End::Shed);
         }
--- a/crates/measure/src/load/world.rs
+++ b/crates/measure/src/load/world.rs
@@ -7,8 +7,8 @@
 use cicadashift_core::membership::record::Readiness;
 use cicadashift_core::request::choose::{Known, Picker, Place};
 use cicadashift_core::request::gate::{Gate, Ticket};
-use cicadashift_core::request::retry::{Allowance, Budget};
-use cicadashift_core::request::returning::Returning;
+use cicadashift_core::request::retry::{Allowance, RetryBudget};
+use cicadashift_core::request::returning::ReturningCallers;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::{Duration, Instant};
@@ -127,8 +127,8 @@
     pub loses: f64,
     pub slow: f64,
     pub pickers: Vec<Picker>,
-    pub budgets: Vec<Budget>,
-    pub returning: Returning,
+    pub budgets: Vec<RetryBudget>,
+    pub returning: ReturningCallers,
 }
 
 /// One run.
@@ -260,8 +260,8 @@
     pub fn allowance(&self) -> Allowance {
         let daemons = self.hosts.len().max(1) as f64;
         Allowance {
-            earned: self.deployment.retry_ratio * SAFE_SHARE,
-            saved: self.deployment.retry_slack * SLACK_SHARE / daemons,
+            earned_per_attempt: self.deployment.retry_ratio * SAFE_SHARE,
+            max_saved: self.deployment.retry_slack * SLACK_SHARE / daemons,
             saved_for: SAVED_FOR,
         }
     }
@@ -293,7 +293,7 @@
                     slow: 1.0,
                     pickers: Vec::new(),
                     budgets: Vec::new(),
-                    returning: Returning::default(),
+                    returning: ReturningCallers::default(),
                 });
             }
         }
@@ -301,7 +301,7 @@
         let (policy, services) = (self.switches.choice, self.services.len());
         for (index, host) in self.hosts.iter_mut().enumerate() {
             host.pickers = vec![Picker::new(policy, HostKey(index as u64)); services];
-            host.budgets = vec![Budget::new(allowance); services];
+            host.budgets = vec![RetryBudget::new(allowance); services];
         }
     }
 
@@ -413,8 +413,8 @@
         let state = &mut self.hosts[host.0];
         state.open = true;
         state.pickers = vec![Picker::new(policy, HostKey(host.0 as u64)); services];
-        state.budgets = vec![Budget::new(allowance); services];
-        state.returning = Returning::default();
+        state.budgets = vec![RetryBudget::new(allowance); services];
+        state.returning = ReturningCallers::default();
     }
 
     /// Starts an upstream, which knows nothing of before.
--- a/src/daemon/callers.rs
+++ b/src/daemon/callers.rs
@@ -2,7 +2,7 @@
 
 use super::lock;
 use cicadashift_core::request::gate::KindKey;
-use cicadashift_core::request::returning::Returning;
+use cicadashift_core::request::returning::ReturningCallers;
 use std::sync::Mutex;
 use std::time::Instant;
 
@@ -11,21 +11,21 @@
 /// Callers that were sent away.
 #[derive(Default)]
 pub struct Callers {
-    shards: [Mutex<Returning>; SHARDS],
+    shards: [Mutex<ReturningCallers>; SHARDS],
 }
 
 impl Callers {
     /// Returns when the caller of a call first came, if it was sent away before.
     pub fn first_came(&self, kind: KindKey, until: Instant) -> Option<Instant> {
-        lock(self.shard(kind)).first_came(kind, until)
+        lock(self.shard(kind)).take_first_arrival(kind, until)
     }
 
     /// Takes in that a call was given no answer.
     pub fn sent_away(&self, kind: KindKey, since: Instant, until: Instant, now: Instant) {
-        lock(self.shard(kind)).sent_away(kind, since, until, now);
+        lock(self.shard(kind)).record_unanswered(kind, since, until, now);
     }
 
-    fn shard(&self, kind: KindKey) -> &Mutex<Returning> {
+    fn shard(&self, kind: KindKey) -> &Mutex<ReturningCallers> {
         &self.shards[kind.0 as usize % SHARDS]
     }
 }
--- a/src/daemon/gates/local.rs
+++ b/src/daemon/gates/local.rs
@@ -239,12 +239,12 @@
 
     /// Returns the mean time that a call of a kind takes there.
     pub fn time_of(&self, kind: KindKey) -> Duration {
-        lock(&self.state).gate.time_of(kind)
+        lock(&self.state).gate.service_time(kind)
     }
 
     /// Returns the share of the calls sent to it that it takes.
     pub fn accepts(&self, now: Instant) -> f64 {
-        lock(&self.state).gate.accepts(now)
+        lock(&self.state).gate.acceptance_rate(now)
     }
 
     /// Returns its load.
@@ -254,7 +254,7 @@
             running: state.gate.running(),
             queued: state.gate.queued(),
             limit: state.gate.limit(),
-            mean: state.gate.mean(),
+            mean: state.gate.mean_service_time(),
         }
     }
 
--- a/src/daemon/request/attempts/mod.rs
+++ b/src/daemon/request/attempts/mod.rs
@@ -14,7 +14,7 @@
 use super::work::Work;
 use crate::daemon::{Daemon, quarantine};
 use cicadashift_core::request::MIN_RETRY_AFTER;
-use cicadashift_core::request::retry::{Attempt, Call, Verdict};
+use cicadashift_core::request::retry::{Attempt, CallState, RetryDecision};
 use cicadashift_http::body::Body;
 use cicadashift_http::hyper::Response;
 use cicadashift_wire::call;
@@ -86,12 +86,12 @@
             so_far.links_busy += 1;
         }
         so_far.missed(attempt, reason);
-        if attempt.has_arrived() {
+        if attempt.may_have_arrived() {
             so_far.trial = None;
         }
         let has_left_canaries = leave_canaries(&mut work, &mut so_far);
         // What cannot be sent again is refused below, as not run.
-        let may_be_sent = payload.is_left() && !attempt.has_arrived();
+        let may_be_sent = payload.is_left() && !attempt.may_have_arrived();
         if has_left_canaries && may_be_sent {
             continue;
         }
@@ -113,13 +113,13 @@
         let verdict = decide(d, &work, &payload, &so_far, attempt, may_have_run);
         log_missed(d, &work, &target, attempt, reason, verdict, now);
         match verdict {
-            Verdict::Again => d.metrics.incr("call.retried"),
-            Verdict::Refuse { retry_after } => {
+            RetryDecision::Retry => d.metrics.incr("call.retried"),
+            RetryDecision::Refuse { retry_after } => {
                 // Others that refused may be free sooner than the last one.
                 let wait = so_far.last_refusal.map_or(retry_after, |(_, wait)| wait);
                 return refuse(d, &work, reason, retry_after.min(wait.max(MIN_RETRY_AFTER)));
             }
-            Verdict::Answer | Verdict::Unknown => {
+            RetryDecision::Answer | RetryDecision::Unknown => {
                 return give_up_unknown(d, &work, so_far, reason);
             }
         }
@@ -153,21 +153,21 @@
     so_far: &SoFar,
     attempt: Attempt,
     may_have_run: bool,
-) -> Verdict {
-    let call = Call {
+) -> RetryDecision {
+    let call = CallState {
         repeatable: work.repeatable,
         replayable: payload.is_left(),
         attempts: so_far.asked(),
         arrivals: so_far.arrivals,
-        allowed: work.allowed,
+        max_attempts: work.allowed,
         may_have_run,
     };
     let left = work.deadline.saturating_duration_since(d.clock.now());
     let random = fastrand::u64(..);
     let verdict = d
         .services
-        .with(&work.service, |service| call.after(attempt, left, &mut service.budget, random));
-    verdict.unwrap_or(Verdict::Unknown)
+        .with(&work.service, |service| call.decide(attempt, left, &mut service.budget, random));
+    verdict.unwrap_or(RetryDecision::Unknown)
 }
 
 /// Ends a call that cannot be tried again; what an earlier attempt left open
--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/second.rs
@@ -12,7 +12,7 @@
 use crate::daemon::request::work::Work;
 use crate::daemon::services::Target;
 use crate::daemon::{Daemon, liveness, quarantine};
-use cicadashift_core::request::retry::{Attempt, Verdict};
+use cicadashift_core::request::retry::{Attempt, RetryDecision};
 use cicadashift_core::request::suspects::Standing;
 use std::future::Future;
 use std::pin::Pin;
@@ -64,7 +64,7 @@
     so_far.tried.push(spare.choice.key);
     so_far.arrivals += 1;
     d.metrics.incr("call.doubled");
-    log_missed(d, work, target, Attempt::Unknown, why, Verdict::Again, work.started);
+    log_missed(d, work, target, Attempt::Unknown, why, RetryDecision::Retry, work.started);
     log_choice(d, work, &spare, so_far.asked());
     let second = Box::pin(send(d, work, &spare, body, Patience::LAST));
     better_of(first, second).await
--- a/src/daemon/request/attempts/so_far.rs
+++ b/src/daemon/request/attempts/so_far.rs
@@ -93,7 +93,7 @@
             let soonest = self.last_refusal.map_or(retry_after, |(_, wait)| wait.min(retry_after));
             self.last_refusal = Some((reason, soonest));
         }
-        self.arrivals += u32::from(attempt.has_arrived());
+        self.arrivals += u32::from(attempt.may_have_arrived());
         self.may_have_run |= attempt == Attempt::Unknown;
     }
 }
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -14,8 +14,8 @@
 use cicadashift_core::config::compile::Table;
 use cicadashift_core::config::organisation::Account;
 use cicadashift_core::request::gate::KindKey;
+use cicadashift_core::request::jitter;
 use cicadashift_core::request::retry::MAX_ATTEMPTS;
-use cicadashift_core::request::spread;
 use cicadashift_http::ahead::{Held, Target, Turn};
 use cicadashift_http::body::{self, Body, BodyError};
 use cicadashift_http::exec;
@@ -82,7 +82,7 @@
     let running = d.versions.running();
     let version = running.table.version;
     if version == 0 {
-        let wait = spread(NO_CONFIGURATION_WAIT, fastrand::u64(..));
+        let wait = jitter(NO_CONFIGURATION_WAIT, fastrand::u64(..));
         return refuse_unrouted(d, &request_id, version, "no-configuration", wait);
     }
     let Some(route) = find_route(&running.table, &head) else {
@@ -211,7 +211,7 @@
 /// lately, or a member runs a newer one, the request is refused as not run instead.
 fn no_route(d: &Daemon, request: &str, version: u64, now: Instant) -> Response<Body> {
     if !is_sure(d, now) {
-        let wait = spread(NO_CONFIGURATION_WAIT, fastrand::u64(..));
+        let wait = jitter(NO_CONFIGURATION_WAIT, fastrand::u64(..));
         return refuse_unrouted(d, request, version, "no-route-unconfirmed", wait);
     }
     d.metrics.incr("call.no_route");
@@ -226,7 +226,7 @@
 /// told that it is wrong, and gives up.
 fn no_key(d: &Daemon, request: &str, version: u64, now: Instant) -> Response<Body> {
     if !is_sure(d, now) {
-        let wait = spread(NO_CONFIGURATION_WAIT, fastrand::u64(..));
+        let wait = jitter(NO_CONFIGURATION_WAIT, fastrand::u64(..));
         return refuse_unrouted(d, request, version, "no-key-unconfirmed", wait);
     }
     d.metrics.incr("call.no_key");
@@ -245,7 +245,7 @@
 /// Tells that an organisation has sent more than it may.
 fn over_quota(d: &Daemon, request: &str, version: u64, organisation: &str) -> Response<Body> {
     d.metrics.incr("call.over_quota");
-    let wait = spread(OVER_QUOTA_WAIT, fastrand::u64(..));
+    let wait = jitter(OVER_QUOTA_WAIT, fastrand::u64(..));
     let status = StatusCode::TOO_MANY_REQUESTS;
     crate::logging::decision(&Refuse {
         organisation,
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -11,8 +11,8 @@
 use crate::daemon::{Daemon, lock, quarantine};
 use cicadashift_core::request::gate::pace::NamedLimit;
 use cicadashift_core::request::gate::{Arrival, CallerKey, End, KindKey, Refusal};
-use cicadashift_core::request::link::Large;
-use cicadashift_core::request::spread;
+use cicadashift_core::request::jitter;
+use cicadashift_core::request::link::LargeAnswer;
 use cicadashift_core::request::suspects::{Review, SETTLE, Standing};
 use cicadashift_http::body::{self, Body};
 use cicadashift_http::client::{Connection, IDLE_TIME};
@@ -70,7 +70,7 @@
         // The answer leaves by this link wherever it comes from.
         (Origin::Here, Err(backlog)) => backlog,
         (Origin::Mesh, Err(backlog)) => {
-            let retry_after = spread(backlog, fastrand::u64(..));
+            let retry_after = jitter(backlog, fastrand::u64(..));
             let refusal = Refusal::LinkBusy { retry_after };
             return refuse(&d, &cx, refusal, arrived, Some(&local));
         }
@@ -81,7 +81,7 @@
         priority: cx.priority,
         caller: CallerKey(cx.caller),
         kind,
-        most_wait: Duration::from_millis(u64::from(cx.wait_most_ms)),
+        max_wait: Duration::from_millis(u64::from(cx.wait_most_ms)),
     };
     let pass = match local.admit(arrival, &d.clock).await {
         Ok(pass) => pass,
@@ -130,15 +130,15 @@
 fn time_on_link(
     d: &Daemon,
     cx: &Context,
-    needed: Duration,
+    service_time: Duration,
     now: Instant,
 ) -> Result<Duration, Duration> {
     let Some(link) = &d.link else { return Ok(Duration::ZERO) };
     let link = lock(link);
-    let Some(bytes) = link.large(KindKey(cx.call_kind)) else { return Ok(Duration::ZERO) };
-    let left = Duration::from_millis(u64::from(cx.objective_ms));
-    let most = Duration::from_millis(u64::from(cx.link_most_ms));
-    link.room_for(Large { bytes, needed, left, most }, now)
+    let Some(bytes) = link.large_size(KindKey(cx.call_kind)) else { return Ok(Duration::ZERO) };
+    let time_left = Duration::from_millis(u64::from(cx.objective_ms));
+    let max_backlog = Duration::from_millis(u64::from(cx.link_most_ms));
+    link.admit_answer(LargeAnswer { bytes, service_time, time_left, max_backlog }, now)
 }
 
 async fn forward(
@@ -285,7 +285,7 @@
 
 fn observe_size(d: &Daemon, cx: &Context, bytes: u64) {
     if let Some(link) = &d.link {
-        lock(link).observe(KindKey(cx.call_kind), bytes);
+        lock(link).observe_size(KindKey(cx.call_kind), bytes);
     }
 }
 
@@ -309,7 +309,7 @@
 /// Tells the entry daemon how busy this host's link is.
 fn tell_link(d: &Daemon, head: &mut HeaderMap) {
     let Some(link) = &d.link else { return };
-    let wait = lock(link).usual_wait(d.clock.now());
+    let wait = lock(link).estimated_transfer_time(d.clock.now());
     if let Some(wait) = wait {
         headers::set(head, call::LINK_MS, &wait.as_millis().to_string());
     }
--- a/src/daemon/request/paced.rs
+++ b/src/daemon/request/paced.rs
@@ -3,7 +3,7 @@
 use crate::daemon::{Daemon, lock};
 use bytes::Bytes;
 use cicadashift_core::request::gate::KindKey;
-use cicadashift_core::request::link::{SMALL_BYTES, Turn};
+use cicadashift_core::request::link::{SMALL_BYTES, TransferId};
 use cicadashift_http::body::{Body, BodyError};
 use cicadashift_http::hyper::Response;
 use cicadashift_http::hyper::body::{Body as HttpBody, Frame, SizeHint};
@@ -25,10 +25,10 @@
     let now = d.clock.now();
     let size = res.body().size_hint().exact();
     if let Some(bytes) = size.filter(|bytes| *bytes <= SMALL_BYTES) {
-        lock(link).sent(bytes + HEAD_BYTES, now);
+        lock(link).record_sent(bytes + HEAD_BYTES, now);
         return res;
     }
-    let turn = lock(link).join(size.unwrap_or(UNTOLD_BYTES), now);
+    let turn = lock(link).start_transfer(size.unwrap_or(UNTOLD_BYTES), now);
     res.map(|body| {
         Paced { d: d.clone(), turn, body, held: Bytes::new(), pause: None }.boxed_unsync()
     })
@@ -37,7 +37,7 @@
 /// A large answer that leaves in its turn.
 struct Paced {
     d: Arc<Daemon>,
-    turn: Turn,
+    turn: TransferId,
     body: Body,
     /// What was read of the body and has not left.
     held: Bytes,
@@ -50,7 +50,7 @@
         let Some(link) = &self.d.link else { return Some(self.held.len()) };
         let mut link = lock(link);
         let bytes = self.held.len().min(link.piece());
-        match link.ask(self.turn, bytes as u64, self.d.clock.now()) {
+        match link.request_piece(self.turn, bytes as u64, self.d.clock.now()) {
             Ok(()) => Some(bytes),
             Err(wait) => {
                 self.pause = Some(smol::Timer::after(wait));
@@ -108,7 +108,7 @@
 impl Drop for Paced {
     fn drop(&mut self) {
         if let Some(link) = &self.d.link {
-            lock(link).leave(self.turn);
+            lock(link).end_transfer(self.turn);
         }
     }
 }
@@ -124,7 +124,7 @@
     pub fn new(d: &Arc<Daemon>, kind: KindKey) -> Expected {
         let bytes = d.link.as_ref().map_or(0, |link| {
             let mut link = lock(link);
-            let bytes = link.large(kind).unwrap_or(0);
+            let bytes = link.large_size(kind).unwrap_or(0);
             link.expect(bytes, true);
             bytes
         });
--- a/src/daemon/request/story.rs
+++ b/src/daemon/request/story.rs
@@ -8,7 +8,7 @@
 use crate::daemon::Daemon;
 use crate::daemon::services::Target;
 use cicadashift_core::request::choose::Reason;
-use cicadashift_core::request::retry::{Attempt, Verdict};
+use cicadashift_core::request::retry::{Attempt, RetryDecision};
 use serde::Serialize;
 use std::time::Instant;
 
@@ -149,7 +149,7 @@
     target: &Target,
     attempt: Attempt,
     why: &str,
-    verdict: Verdict,
+    verdict: RetryDecision,
     began: Instant,
 ) {
     let outcome = match attempt {
@@ -158,9 +158,9 @@
         Attempt::Unknown => "unknown",
     };
     let next = match verdict {
-        Verdict::Again => "again",
-        Verdict::Refuse { .. } => "refuse",
-        Verdict::Answer | Verdict::Unknown => "give-up",
+        RetryDecision::Retry => "again",
+        RetryDecision::Refuse { .. } => "refuse",
+        RetryDecision::Answer | RetryDecision::Unknown => "give-up",
     };
     crate::logging::decision(&Missed {
         kind: "missed",
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -13,7 +13,7 @@
 use super::work::Work;
 use crate::daemon::{Daemon, quarantine};
 use crate::store::{Lease, Platform, PlatformError, Revision, Swap, keys};
-use cicadashift_core::request::spread;
+use cicadashift_core::request::jitter;
 use cicadashift_core::request::suspects::{Review, Standing};
 use cicadashift_http::exec;
 use std::sync::Arc;
@@ -96,7 +96,7 @@
 
 fn refused_for_now(d: &Daemon) -> Permit {
     d.metrics.incr("call.disputed");
-    Permit::Refused { retry_after: spread(MOST_WAIT, fastrand::u64(..)) }
+    Permit::Refused { retry_after: jitter(MOST_WAIT, fastrand::u64(..)) }
 }
 
 /// Gets the key for a trial, if nobody has it and the call is still in doubt.
@@ -115,7 +115,7 @@
     };
     let now = d.clock.now();
     let Some(trial) = trial else {
-        *next = Some(now + spread(TRY_EVERY, fastrand::u64(..)));
+        *next = Some(now + jitter(TRY_EVERY, fastrand::u64(..)));
         return None;
     };
     // The one before may have decided it.
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -6,7 +6,7 @@
 use cicadashift_core::request::choose::{
     Choice, Demand, Known, Outcome, Picker, Place, Policy, UpstreamKey,
 };
-use cicadashift_core::request::retry::{Allowance, Budget};
+use cicadashift_core::request::retry::{Allowance, RetryBudget};
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::{Arc, Mutex};
@@ -30,7 +30,7 @@
     /// The choice among its upstreams.
     pub picker: Picker,
     /// Retries that its calls may still use.
-    pub budget: Budget,
+    pub budget: RetryBudget,
 }
 
 impl Service {
@@ -103,7 +103,7 @@
             for name in new {
                 let mut picker = Picker::new(self.policy, d.me);
                 picker.sync(by_service.remove(&name).unwrap_or_default(), now);
-                let budget = Budget::new(allowance(d));
+                let budget = RetryBudget::new(allowance(d));
                 shard.insert(name, Service { picker, budget });
             }
         }
@@ -177,8 +177,8 @@
     let retries = d.tunable.get().retries;
     let daemons = d.members.live_count().max(1) as f64;
     Allowance {
-        earned: retries.ratio * SAFE_SHARE,
-        saved: retries.slack * SLACK_SHARE / daemons,
+        earned_per_attempt: retries.ratio * SAFE_SHARE,
+        max_saved: retries.slack * SLACK_SHARE / daemons,
         saved_for: Duration::from_secs_f64(retries.window_s * SAVED_SHARE),
     }
 }
