--- a/crates/core/src/config/manifest.rs
+++ b/crates/core/src/config/manifest.rs
@@ -1,14 +1,13 @@
-//! All of one version, cut into pages so that a change sends little.
+//! The manifest of a version, split into pages so that a change transfers little.
 //!
-//! A [`Root`] names three kinds of pages by hash: configurations (id, labels,
+//! A [`Root`] refers by hash to three kinds of pages: configurations (id, labels,
 //! hash of the text), label sets of proxies, and the selectors. Configurations
-//! and label sets are spread over [`BUCKETS`] pages each. A change touches one
-//! page; a proxy that holds the previous version fetches the root, that page,
-//! and the configuration only where a selector pairs it with the proxy.
+//! and label sets are distributed over [`BUCKETS`] pages each. A change affects one
+//! page: a proxy that holds the previous version fetches the root and that page, and
+//! fetches the configuration only if a selector pairs it with the proxy.
 //!
-//! The limit of this form is a change of selectors: their page is one, so
-//! everybody fetches all selectors, 100 bytes each. `docs/CAPACITY.md` has the
-//! figure.
+//! A change of selectors costs more: they share a single page, so every proxy
+//! fetches all selectors, 100 bytes each. `docs/CAPACITY.md` has the figure.
 
 use super::select::Proxy;
 use super::{Labels, Selector};
@@ -17,46 +16,46 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// Pages for configurations, and again for label sets.
+/// Number of pages for configurations, and of pages for label sets.
 pub const BUCKETS: usize = 16;
 
-/// Names every page of a version.
+/// Refers to every page of a version by its hash.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Root {
-    /// Place in the total order.
+    /// Position in the total order of versions.
     pub version: Version,
-    /// Pages of [`ConfigEntry`], by bucket of the configuration's id.
+    /// Hash of each [`ConfigPage`], by bucket of the configuration's id.
     pub configs: [ObjectHash; BUCKETS],
-    /// Pages of label sets, by bucket of the host's name.
+    /// Hash of each [`LabelPage`], by bucket of the host's name.
     pub labels: [ObjectHash; BUCKETS],
-    /// The page of selectors.
+    /// Hash of the [`SelectorPage`].
     pub selectors: ObjectHash,
 }
 
-/// One configuration in a page.
+/// One configuration in a [`ConfigPage`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigEntry {
     /// The configuration's id.
     pub id: String,
-    /// Its labels, so that selection needs no further fetch.
+    /// Its labels, included so that selection needs no further fetch.
     pub labels: Labels,
-    /// Names its text.
+    /// Hash of its text.
     pub hash: ObjectHash,
     /// Length of its text in bytes.
     pub bytes: u64,
 }
 
-/// A page of configurations.
+/// A page of configurations, by id.
 pub type ConfigPage = BTreeMap<String, ConfigEntry>;
 /// A page of label sets, by host name.
 pub type LabelPage = BTreeMap<String, Labels>;
 /// The page of selectors, by name.
 pub type SelectorPage = BTreeMap<String, Selector>;
 
-/// All of one version in memory.
+/// The whole contents of a version in memory.
 ///
-/// Only the operator's client and readers build one whole; a proxy looks at the
-/// pages that concern it.
+/// Only the operator's client and readers build a whole manifest; a proxy reads the
+/// pages that it needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Manifest {
     /// Configurations by id.
@@ -67,22 +66,22 @@
     pub selectors: BTreeMap<String, Selector>,
 }
 
-/// Bytes of an object with its name.
+/// Bytes of an object, with their hash.
 pub type Object = (ObjectHash, Vec<u8>);
 
 impl Manifest {
-    /// Cuts the manifest into its root and pages.
+    /// Splits the manifest into its root and pages.
     ///
     /// Equal contents give equal hashes, since all maps are ordered.
     pub fn paginate(&self, version: Version) -> (Root, Vec<Object>) {
         let mut objects = Vec::new();
-        let configs = pages(&self.configs, &mut objects);
-        let labels = pages(&self.labels, &mut objects);
-        let selectors = put(&self.selectors, &mut objects);
+        let configs = build_pages(&self.configs, &mut objects);
+        let labels = build_pages(&self.labels, &mut objects);
+        let selectors = add_object(&self.selectors, &mut objects);
         (Root { version, configs, labels, selectors }, objects)
     }
 
-    /// Returns the ids of the configurations that reach a proxy.
+    /// Returns the configurations that selectors pair with a proxy.
     pub fn selected(&self, proxy: &Proxy) -> Vec<&ConfigEntry> {
         let proxy = proxy.with_labels(self.labels.get(&proxy.host));
         self.configs
@@ -93,44 +92,47 @@
 }
 
 impl Root {
-    /// Returns the page that holds a host's labels.
+    /// Returns the hash of the page that holds a host's labels.
     pub fn label_page(&self, host: &str) -> ObjectHash {
         self.labels[bucket(host)]
     }
 
-    /// Returns the pages that a proxy on `host` needs to know its selection.
+    /// Returns the hashes of the pages from which a proxy on `host` determines its
+    /// selection, sorted and without duplicates.
     pub fn pages_for(&self, host: &str) -> Vec<ObjectHash> {
-        let mut wanted = self.configs.to_vec();
-        wanted.push(self.label_page(host));
-        wanted.push(self.selectors);
-        wanted.sort_unstable();
-        wanted.dedup();
-        wanted
+        let mut hashes = self.configs.to_vec();
+        hashes.push(self.label_page(host));
+        hashes.push(self.selectors);
+        hashes.sort_unstable();
+        hashes.dedup();
+        hashes
     }
 
-    /// Returns every page by position: configurations, label sets, selectors.
-    pub fn slots(&self) -> Vec<ObjectHash> {
-        let mut slots: Vec<_> = self.configs.iter().chain(&self.labels).copied().collect();
-        slots.push(self.selectors);
-        slots
+    /// Returns the hash of every page by position: configurations, label sets, selectors.
+    pub fn page_hashes(&self) -> Vec<ObjectHash> {
+        let mut hashes: Vec<_> = self.configs.iter().chain(&self.labels).copied().collect();
+        hashes.push(self.selectors);
+        hashes
     }
 
-    /// Returns the positions at which this root differs from an older one.
+    /// Returns the positions at which this root differs from an older one, each with the
+    /// page's hash in this root.
     pub fn changes_since(&self, base: &Root) -> Vec<(u16, ObjectHash)> {
-        let pairs = self.slots().into_iter().zip(base.slots()).enumerate();
+        let pairs = self.page_hashes().into_iter().zip(base.page_hashes()).enumerate();
         pairs.filter(|(_, (new, old))| new != old).map(|(i, (new, _))| (i as u16, new)).collect()
     }
 
-    /// Returns this root with some positions changed, as a later version.
+    /// Returns this root with the hashes at some positions replaced, as a later version.
     ///
-    /// Positions that do not exist are passed over; the result's hash tells.
-    pub fn with_changes(&self, version: Version, slots: &[(u16, ObjectHash)]) -> Root {
+    /// Positions out of range are ignored; the caller detects them by comparing the hash of
+    /// the result with the expected one.
+    pub fn with_changes(&self, version: Version, changes: &[(u16, ObjectHash)]) -> Root {
         let mut root = Root { version, ..self.clone() };
-        for (i, hash) in slots {
+        for (i, hash) in changes {
             let i = usize::from(*i);
-            let mut places = root.configs.iter_mut().chain(&mut root.labels);
-            match places.nth(i) {
-                Some(place) => *place = *hash,
+            let mut hashes = root.configs.iter_mut().chain(&mut root.labels);
+            match hashes.nth(i) {
+                Some(current) => *current = *hash,
                 None if i == 2 * BUCKETS => root.selectors = *hash,
                 None => {}
             }
@@ -138,12 +140,12 @@
         root
     }
 
-    /// Returns every page.
+    /// Returns the hash of every page, sorted and without duplicates.
     pub fn all_pages(&self) -> Vec<ObjectHash> {
-        let mut wanted = self.slots();
-        wanted.sort_unstable();
-        wanted.dedup();
-        wanted
+        let mut hashes = self.page_hashes();
+        hashes.sort_unstable();
+        hashes.dedup();
+        hashes
     }
 }
 
@@ -151,27 +153,29 @@
 ///
 /// # Panics
 ///
-/// Does not: every type given to it here is plain data.
+/// Never for plain data, which is all that this is called with.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    rmp_serde::to_vec(value).expect("plain data always encodes")
+    rmp_serde::to_vec(value).expect("encoding plain data cannot fail")
 }
 
-/// Decodes an object's bytes, or returns `None` where they are not a `T`.
+/// Decodes an object's bytes, or returns `None` if they are no valid `T`.
 pub fn decode<T: for<'de> Deserialize<'de>>(buf: &[u8]) -> Option<T> {
     rmp_serde::from_slice(buf).ok()
 }
 
-fn pages<T: Serialize>(
+/// Distributes the entries of a map over pages by the bucket of their key, appends the
+/// pages to `objects` and returns their hashes.
+fn build_pages<T: Serialize>(
     map: &BTreeMap<String, T>,
     objects: &mut Vec<Object>,
 ) -> [ObjectHash; BUCKETS] {
     std::array::from_fn(|i| {
         let page: BTreeMap<&String, &T> = map.iter().filter(|(key, _)| bucket(key) == i).collect();
-        put(&page, objects)
+        add_object(&page, objects)
     })
 }
 
-fn put<T: Serialize>(value: &T, objects: &mut Vec<Object>) -> ObjectHash {
+fn add_object<T: Serialize>(value: &T, objects: &mut Vec<Object>) -> ObjectHash {
     let buf = encode(value);
     let hash = ObjectHash::of(&buf);
     objects.push((hash, buf));
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,14 +1,14 @@
-//! What operators write, and what a proxy makes of it.
+//! Configurations as operators write them, and their processing on a proxy.
 //!
 //! [`Config`] is one labelled configuration. A [`Selector`] pairs
-//! configurations with proxies. A [`manifest`] holds all of them for one
-//! version, [`select`] answers which of them reach a proxy, and [`compile`]
-//! turns those into the table that requests are matched against. A [`delta`] is what
-//! differs between two texts of a configuration.
+//! configurations with proxies. A [`manifest`] contains all configurations and
+//! selectors of one version, [`select`] decides which configurations a proxy runs, and
+//! [`compile`] turns these into the routing table that requests are matched against.
+//! [`delta`] encodes the difference between two texts of a configuration.
 //!
-//! Validation happens twice with the same code: when an operator accepts, and
-//! on each proxy before it holds a version, because a proxy must not trust that
-//! its peers or the platform kept the bytes whole.
+//! The same code validates a configuration twice: when an operator accepts it, and
+//! on each proxy before the proxy holds a version, because a proxy must not trust its
+//! peers or the platform to have kept the bytes intact.
 
 pub mod compile;
 pub mod delta;
@@ -27,11 +27,11 @@
 /// Labels on a configuration or a proxy.
 pub type Labels = BTreeMap<String, String>;
 
-/// Largest configuration in bytes; the platform's values end at a megabyte.
+/// Largest configuration in bytes. A value on the platform holds at most a megabyte.
 pub const MAX_CONFIG_BYTES: usize = 1_000_000;
 
-/// Most routes of one configuration: a megabyte holds fewer than this at 64 bytes a
-/// route.
+/// Most routes of one configuration. At 64 bytes a route, a megabyte holds fewer routes
+/// than this.
 pub const MAX_ROUTES: usize = 16384;
 
 /// Longest deadline a configuration may set, in milliseconds.
@@ -43,16 +43,17 @@
 pub struct Config {
     /// Name under which it is replaced and withdrawn.
     pub id: String,
-    /// What selectors match.
+    /// Labels that selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Tried most specific first, whatever their order here.
+    /// Routes, in any order: requests are matched against the most specific first.
     pub routes: Vec<Route>,
-    /// Bounds on callers; where several configurations set them, the last by id.
+    /// Limits on callers. If several configurations set them, those of the last one by id
+    /// apply.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limits: Option<CallerLimits>,
-    /// Who may ask; where none of the selected configurations has this field, anybody
-    /// may, without a key.
+    /// Organisations that may send requests. If none of the selected configurations has
+    /// this field, any caller may send requests without a key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub organisations: Option<Vec<Organisation>>,
 }
@@ -69,22 +70,22 @@
     /// Labels that a proxy must have.
     #[serde(default)]
     pub proxies: Labels,
-    /// Failure domains reached; empty reaches all.
+    /// Failure domains that a proxy may be in; empty matches any.
     #[serde(default)]
     pub domains: Vec<String>,
-    /// Services a proxy's host must run one of; empty asks for none.
+    /// Services of which a proxy's host must run at least one; empty matches any host.
     #[serde(default)]
     pub services: Vec<String>,
 }
 
-/// Why a configuration or selector is refused.
+/// Reason for which a configuration or selector is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Invalid {
-    /// The bytes are not the expected JSON; carries the parser's words.
+    /// The bytes are not the expected JSON; contains the parser's message.
     Json(String),
     /// The text is larger than [`MAX_CONFIG_BYTES`].
     TooLarge(usize),
-    /// A name is empty, too long or has characters outside `[A-Za-z0-9._-]`.
+    /// A name is empty, longer than 128 bytes or has characters outside `[A-Za-z0-9._-]`.
     Name { field: &'static str, value: String },
     /// There are no routes, or more than [`MAX_ROUTES`].
     RouteCount(usize),
@@ -94,21 +95,21 @@
     Method(String),
     /// A deadline is zero or above [`MAX_DEADLINE_MS`].
     Deadline(u64),
-    /// The time of best worth is zero.
+    /// `objective_ms` is zero.
     Objective,
-    /// No upstream may be tried.
+    /// `max_attempts` is zero.
     Attempts,
-    /// Weighted parts are too many or weigh nothing.
+    /// There are too many weighted parts, or their total weight is zero.
     Parts(String),
     /// Two organisations have this name.
-    Organisation(String),
-    /// A key of this organisation is empty, too long or has characters that no header
-    /// value of one word has.
-    Key(String),
-    /// Two organisations hold one key.
+    DuplicateOrganisation(String),
+    /// A key of this organisation is empty, too long, or has a space or another character
+    /// that is not printable ASCII.
+    ApiKey(String),
+    /// Two organisations have the same key.
     SharedKey { first: String, second: String },
     /// Two routes of one proxy match exactly the same requests.
-    Duplicate { prefix: String, first: String, second: String },
+    DuplicateRoute { prefix: String, first: String, second: String },
     /// No upstream has announced the service.
     UnknownService { config: String, service: String },
 }
@@ -116,7 +117,7 @@
 impl fmt::Display for Invalid {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Invalid::Json(why) => write!(f, "not a valid document: {why}"),
+            Invalid::Json(err) => write!(f, "not a valid document: {err}"),
             Invalid::TooLarge(len) => {
                 write!(f, "{len} bytes is over the limit of {MAX_CONFIG_BYTES}")
             }
@@ -135,10 +136,12 @@
             Invalid::Objective => write!(f, "objective_ms must be at least 1"),
             Invalid::Attempts => write!(f, "max_attempts must be at least 1"),
             Invalid::Parts(prefix) => {
-                write!(f, "the parts of prefix {prefix:?} must be 1 to 32 with a weight over 0")
+                write!(f, "prefix {prefix:?} must have 1 to 32 parts with a total weight above 0")
             }
-            Invalid::Organisation(name) => write!(f, "two organisations are called {name:?}"),
-            Invalid::Key(name) => write!(
+            Invalid::DuplicateOrganisation(name) => {
+                write!(f, "two organisations are called {name:?}")
+            }
+            Invalid::ApiKey(name) => write!(
                 f,
                 "a key of organisation {name:?} must be 1 to {} printable characters",
                 organisation::MAX_KEY_BYTES
@@ -146,7 +149,7 @@
             Invalid::SharedKey { first, second } => {
                 write!(f, "organisations {first:?} and {second:?} hold the same key")
             }
-            Invalid::Duplicate { prefix, first, second } => write!(
+            Invalid::DuplicateRoute { prefix, first, second } => write!(
                 f,
                 "configurations {first:?} and {second:?} both route {prefix:?} on the same proxy"
             ),
@@ -165,7 +168,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first [`Invalid`] found; nothing is repaired silently.
+    /// Returns the first [`Invalid`] found. Invalid fields are never corrected.
     pub fn parse(buf: &[u8]) -> Result<Config, Invalid> {
         if buf.len() > MAX_CONFIG_BYTES {
             return Err(Invalid::TooLarge(buf.len()));
@@ -176,7 +179,7 @@
         Ok(cfg)
     }
 
-    /// Checks what the JSON grammar cannot say.
+    /// Checks the constraints that deserialization does not enforce.
     ///
     /// # Errors
     ///
@@ -205,7 +208,7 @@
         Ok(selector)
     }
 
-    /// Checks the names that the selector holds.
+    /// Checks every name in the selector: its own, labels, failure domains and services.
     ///
     /// # Errors
     ///
@@ -224,11 +227,11 @@
     }
 }
 
-/// Checks keys and values of a label set.
+/// Checks the keys and values of a label set.
 ///
 /// # Errors
 ///
-/// Returns [`Invalid::Name`] for the first key or value outside the alphabet.
+/// Returns [`Invalid::Name`] for the first key or value that [`check_name`] rejects.
 pub fn check_labels(labels: &Labels) -> Result<(), Invalid> {
     for (key, value) in labels {
         check_name("labels", key)?;
@@ -237,13 +240,17 @@
     Ok(())
 }
 
-/// Checks one name against the alphabet that all names share.
+/// Checks the length and the characters of a name; the same rule applies to all names.
 ///
 /// # Errors
 ///
-/// Returns [`Invalid::Name`] with the field given.
+/// Returns [`Invalid::Name`] with `field` and the name.
 pub fn check_name(field: &'static str, value: &str) -> Result<(), Invalid> {
-    let fits = (1..=128).contains(&value.len());
-    let clean = value.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
-    if fits && clean { Ok(()) } else { Err(Invalid::Name { field, value: value.to_string() }) }
+    let length_ok = (1..=128).contains(&value.len());
+    let chars_ok = value.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
+    if length_ok && chars_ok {
+        Ok(())
+    } else {
+        Err(Invalid::Name { field, value: value.to_string() })
+    }
 }
--- a/crates/core/src/config/organisation.rs
+++ b/crates/core/src/config/organisation.rs
@@ -1,13 +1,13 @@
-//! Organisations: whose request it is, and how much each may ask for.
+//! Organisations: identification of a request's sender, and quotas.
 //!
-//! A configuration that names organisations asks every request for one of their keys,
-//! except on routes that are anonymous. A [`Directory`] answers whose key it is. It
-//! holds digests of the keys and not the keys, so that nothing that prints or sends a
-//! compiled table can give one away.
+//! If a configuration lists organisations, every request must carry one of their keys,
+//! except on anonymous routes. A [`Directory`] maps a key to its organisation. It
+//! contains digests of the keys instead of the keys, so that printing or sending a
+//! compiled table cannot disclose a key.
 //!
 //! # Limits
 //!
-//! The text of a configuration holds the keys as operators wrote them; whoever may read
+//! The text of a configuration contains the keys in plain text: anyone who can read
 //! the store or a daemon's memory can read them.
 
 use super::{Invalid, Priority, check_name};
@@ -21,50 +21,50 @@
 /// Longest key in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// Who may ask, by which keys, and how often.
+/// An organisation that may send requests, with its API keys and its quota.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// What upstreams are told of the sender.
+    /// Name by which upstreams identify the sender.
     pub name: String,
-    /// Keys by which its requests are known.
+    /// Keys that identify its requests.
     pub keys: Vec<ApiKey>,
-    /// Which organisation's calls go first under shortage; goes before the route's.
+    /// Priority of its calls when slots are short; takes precedence over the route's.
     #[serde(default)]
     pub priority: Priority,
-    /// Requests a second at all daemons together; zero is no limit.
+    /// Requests per second at all daemons together; zero means no limit.
     #[serde(default)]
     pub rate_per_s: u64,
-    /// Requests beyond the rate after a time without any.
+    /// Requests allowed beyond the rate after a period without requests.
     #[serde(default)]
     pub burst: u64,
 }
 
-/// Secret by which requests of an organisation are known.
+/// Secret that identifies the requests of an organisation.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// Takes a key as an operator wrote it.
+    /// Creates a key from its text in a configuration, without a check.
     pub fn new(text: impl Into<String>) -> ApiKey {
         ApiKey(text.into())
     }
 
     fn is_well_formed(&self) -> bool {
-        let fits = (1..=MAX_KEY_BYTES).contains(&self.0.len());
-        fits && self.0.bytes().all(|byte| byte.is_ascii_graphic())
+        let length_ok = (1..=MAX_KEY_BYTES).contains(&self.0.len());
+        length_ok && self.0.bytes().all(|byte| byte.is_ascii_graphic())
     }
 }
 
-/// Keeps keys out of logs and panics.
+/// Omits the key, to keep it out of logs and panic messages.
 impl fmt::Debug for ApiKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("ApiKey(..)")
     }
 }
 
-/// Names a key without giving it away.
+/// SHA-256 of a key, which identifies the key without disclosing it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct KeyDigest([u8; 32]);
 
@@ -74,20 +74,20 @@
     }
 }
 
-/// An organisation as the request path sees it.
+/// The compiled form of an [`Organisation`], which the request path uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
-    /// What upstreams are told of the sender.
+    /// Name by which upstreams identify the sender.
     pub name: String,
-    /// Its rank under shortage.
+    /// Priority of its calls when slots are short.
     pub priority: Priority,
-    /// Names the limit on its requests.
+    /// Key of the rate limit on its requests.
     pub limit: LimitKey,
-    /// What it may send; `None` is no limit.
+    /// Rate and burst that it may send; `None` means no limit.
     pub quota: Option<Quota>,
 }
 
-/// Organisations of one version, found by key.
+/// The organisations of one version, indexed by API key and by limit.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Directory {
     accounts: Vec<Arc<Account>>,
@@ -102,20 +102,21 @@
 }
 
 impl Directory {
-    /// Compiles organisations.
+    /// Checks organisations and indexes them.
     ///
     /// # Errors
     ///
-    /// Returns [`Invalid::SharedKey`] where two organisations hold one key and
-    /// [`Invalid::Organisation`] where two have one name: whose request it is would
-    /// depend on their order.
+    /// Returns [`Invalid::SharedKey`] if two organisations have the same key and
+    /// [`Invalid::DuplicateOrganisation`] if two have the same name: the sender of a
+    /// request would depend on their order. Also returns the first [`Invalid`] of a
+    /// single organisation.
     pub fn compile(organisations: &[Organisation]) -> Result<Directory, Invalid> {
         let mut directory = Directory::default();
         let mut names = HashMap::new();
         for organisation in organisations {
             organisation.check()?;
             if names.insert(&organisation.name, ()).is_some() {
-                return Err(Invalid::Organisation(organisation.name.clone()));
+                return Err(Invalid::DuplicateOrganisation(organisation.name.clone()));
             }
             directory.add(organisation)?;
         }
@@ -123,10 +124,10 @@
     }
 
     fn add(&mut self, organisation: &Organisation) -> Result<(), Invalid> {
-        let at = self.accounts.len() as u32;
+        let index = self.accounts.len() as u32;
         for key in &organisation.keys {
-            let holder = *self.by_key.entry(KeyDigest::of(key.0.as_bytes())).or_insert(at);
-            if holder != at {
+            let holder = *self.by_key.entry(KeyDigest::of(key.0.as_bytes())).or_insert(index);
+            if holder != index {
                 return Err(Invalid::SharedKey {
                     first: self.accounts[holder as usize].name.clone(),
                     second: organisation.name.clone(),
@@ -134,24 +135,24 @@
             }
         }
         let account = organisation.account();
-        self.by_limit.insert(account.limit, at);
+        self.by_limit.insert(account.limit, index);
         self.accounts.push(Arc::new(account));
         Ok(())
     }
 
-    /// Returns whose key this is.
+    /// Returns the organisation that has this key.
     ///
-    /// The time of the look-up depends on the digest alone, from which nothing can be
-    /// told about the keys that are held.
+    /// The time of the look-up depends on the digest alone, which discloses nothing about
+    /// the stored keys.
     pub fn find(&self, key: &[u8]) -> Option<&Arc<Account>> {
-        let at = self.by_key.get(&KeyDigest::of(key))?;
-        self.accounts.get(*at as usize)
+        let index = self.by_key.get(&KeyDigest::of(key))?;
+        self.accounts.get(*index as usize)
     }
 
-    /// Returns what may be sent under a limit, if any is set.
+    /// Returns the quota of the organisation with this limit key, if it has one.
     pub fn quota(&self, limit: LimitKey) -> Option<Quota> {
-        let at = self.by_limit.get(&limit)?;
-        self.accounts.get(*at as usize)?.quota
+        let index = self.by_limit.get(&limit)?;
+        self.accounts.get(*index as usize)?.quota
     }
 
     /// Returns the accounts, in the order of the configuration.
@@ -171,16 +172,16 @@
         }
     }
 
-    /// Checks what the JSON grammar cannot say.
+    /// Checks the constraints that deserialization does not enforce.
     ///
     /// # Errors
     ///
-    /// Returns the first [`Invalid`] found; a key never stands in it.
+    /// Returns the first [`Invalid`] found. The error never contains a key.
     pub fn check(&self) -> Result<(), Invalid> {
         check_name("organisations", &self.name)?;
         match self.keys.iter().all(ApiKey::is_well_formed) {
             true => Ok(()),
-            false => Err(Invalid::Key(self.name.clone())),
+            false => Err(Invalid::ApiKey(self.name.clone())),
         }
     }
 }
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -1,4 +1,5 @@
-//! One route: which requests it matches, who serves them, and what they may cost.
+//! One route: the requests that it matches, the services that serve them, and the limits
+//! on each call.
 
 use super::{Invalid, MAX_DEADLINE_MS, check_name};
 use serde::{Deserialize, Serialize};
@@ -11,40 +12,41 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Request's `Host` without port; absent matches any.
+    /// `Host` of the request, without port; absent matches any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    /// Prefix of the path, ending at a segment's end.
+    /// Prefix of the path. It matches whole segments only.
     #[serde(default = "root_prefix")]
     pub prefix: String,
     /// Methods matched; empty matches any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub methods: Vec<String>,
-    /// Service whose upstreams serve the request.
+    /// Service whose upstreams serve the requests; not used if `parts` has entries.
     pub service: String,
-    /// Services that share the requests by weight; empty sends all to `service`.
+    /// Services that share the requests by weight; if empty, `service` serves all.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub parts: Vec<Part>,
-    /// Time a call may take in all, in milliseconds.
+    /// Total time that a call may take, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Time within which an answer is worth most, in milliseconds; absent or
-    /// above the deadline means that any time up to the deadline is as good.
+    /// Latency objective of a call, in milliseconds. If absent or above the deadline, the
+    /// objective is the deadline.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub objective_ms: Option<u64>,
-    /// Most upstreams that one call is sent to.
+    /// Maximum number of upstreams that one call is sent to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_attempts: Option<u32>,
-    /// Methods that may be sent again after an unknown outcome.
+    /// Methods of calls that may be retried after an unknown outcome.
     #[serde(default = "default_repeatable")]
     pub repeatable: Vec<String>,
-    /// What may be sent again whatever the method; goes before `repeatable`.
+    /// Whether calls may be retried, whatever their method; takes precedence over
+    /// `repeatable`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<RouteKind>,
-    /// Which calls go first under shortage.
+    /// Priority of the calls when slots are short.
     #[serde(default)]
     pub priority: Priority,
-    /// Whether requests need no key although the configuration names organisations.
+    /// Whether requests need no key even if the configuration lists organisations.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub anonymous: bool,
     /// Largest request body in bytes.
@@ -52,13 +54,13 @@
     pub max_body: u64,
 }
 
-/// One weighted part of a route.
+/// One weighted part of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
     /// The service that serves this part.
     pub service: String,
-    /// Its share, relative to the weights of the other parts.
+    /// Its share of the requests, relative to the weights of the other parts.
     pub weight: u32,
 }
 
@@ -66,37 +68,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// May be sent again after an unknown outcome.
+    /// May be retried after an unknown outcome.
     Idempotent,
     /// Runs at most once.
     NonIdempotent,
-    /// Idempotent, with a large answer.
+    /// Idempotent, with a large response.
     Download,
 }
 
-/// Rank of a call when an upstream is short of slots; zero goes first.
+/// Priority rank of a call when an upstream is short of slots; zero is the highest.
 ///
-/// Configurations may write the rank or `high`, `normal`, `low` for 0, 1, 2.
+/// Configurations give the rank as a number, or as `high`, `normal` or `low` for 0, 1
+/// or 2.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "PriorityText", into = "u8")]
 pub struct Priority(pub u8);
 
 impl Priority {
-    /// Goes first.
+    /// The highest priority.
     pub const HIGH: Priority = Priority(0);
     /// The default.
     pub const NORMAL: Priority = Priority(1);
-    /// Refused first.
+    /// The lowest named priority: such calls are refused before normal ones.
     pub const LOW: Priority = Priority(2);
 
-    /// Ranks of routes that are told apart within one rank of organisations.
-    const RANKS: u8 = 16;
+    /// Number of route ranks that stay distinct within one rank of organisations; route
+    /// ranks above this count as the lowest of them.
+    const ROUTE_RANKS: u8 = 16;
 
-    /// Returns the rank of a call of an organisation: the organisation's goes first, and
-    /// the route's decides among calls of organisations with the same rank.
+    /// Returns the rank of a call that an organisation sends on a route with this rank. The
+    /// organisation's rank takes precedence; the route's rank decides among calls of
+    /// organisations with the same rank.
     pub fn within(self, organisation: Priority) -> Priority {
-        let base = organisation.0.saturating_mul(Priority::RANKS);
-        Priority(base.saturating_add(self.0.min(Priority::RANKS - 1)))
+        let base = organisation.0.saturating_mul(Priority::ROUTE_RANKS);
+        Priority(base.saturating_add(self.0.min(Priority::ROUTE_RANKS - 1)))
     }
 }
 
@@ -116,12 +121,12 @@
 #[serde(untagged)]
 enum PriorityText {
     Rank(u8),
-    Word(PriorityWord),
+    Word(PriorityName),
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum PriorityWord {
+enum PriorityName {
     High,
     Normal,
     Low,
@@ -131,34 +136,34 @@
     fn from(text: PriorityText) -> Priority {
         match text {
             PriorityText::Rank(rank) => Priority(rank),
-            PriorityText::Word(PriorityWord::High) => Priority::HIGH,
-            PriorityText::Word(PriorityWord::Normal) => Priority::NORMAL,
-            PriorityText::Word(PriorityWord::Low) => Priority::LOW,
+            PriorityText::Word(PriorityName::High) => Priority::HIGH,
+            PriorityText::Word(PriorityName::Normal) => Priority::NORMAL,
+            PriorityText::Word(PriorityName::Low) => Priority::LOW,
         }
     }
 }
 
-/// Bounds on what callers may send, in force for all routes of a version.
+/// Limits on callers, which apply to all routes of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Largest request head in bytes.
     pub head_bytes: u64,
-    /// Bytes of a request's body.
+    /// Largest request body in bytes.
     pub body_bytes: u64,
-    /// Milliseconds for a head to arrive.
+    /// Time within which a request head must arrive, in milliseconds.
     pub head_ms: u64,
-    /// Milliseconds that a connection may stay idle.
+    /// Time that a connection may stay idle, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Route {
-    /// Returns the call's deadline when the caller asked for nothing shorter.
+    /// Returns the time that a call may take unless its caller sets a shorter deadline.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// Returns the time within which an answer is worth most.
+    /// Returns the latency objective of a call, which is at most its deadline.
     pub fn objective(&self) -> Duration {
         let ms = self.objective_ms.unwrap_or(self.deadline_ms);
         Duration::from_millis(ms.min(self.deadline_ms))
@@ -176,8 +181,8 @@
     /// Returns the services that serve this route.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         let parts = self.parts.iter().map(|part| part.service.as_str());
-        let sole = self.parts.is_empty().then_some(self.service.as_str());
-        parts.chain(sole)
+        let unweighted = self.parts.is_empty().then_some(self.service.as_str());
+        parts.chain(unweighted)
     }
 
     pub(super) fn check(&self) -> Result<(), Invalid> {
@@ -187,8 +192,8 @@
         if let Some(host) = &self.host {
             check_name("host", host)?;
         }
-        let bad = ["?", "#", "//", ".."].iter().any(|part| self.prefix.contains(part));
-        if !self.prefix.starts_with('/') || bad {
+        let has_forbidden = ["?", "#", "//", ".."].iter().any(|part| self.prefix.contains(part));
+        if !self.prefix.starts_with('/') || has_forbidden {
             return Err(Invalid::Prefix(self.prefix.clone()));
         }
         for method in self.methods.iter().chain(&self.repeatable) {
--- a/crates/core/src/config/select.rs
+++ b/crates/core/src/config/select.rs
@@ -1,13 +1,13 @@
-//! Which configurations reach a proxy.
+//! Selection of the configurations that a proxy runs.
 //!
 //! A selector is a conjunction: every label, the failure domain and a service
-//! must fit. Several selectors are a disjunction. There is no negation, so that
-//! adding a selector can only add proxies and removing one can only take them
-//! away, which an operator can predict at night.
+//! must match. Several selectors form a disjunction. There is no negation: adding
+//! a selector can only add proxies and removing one can only remove them, so that an
+//! operator can predict the effect of a change while on call.
 
 use super::{Labels, Selector};
 
-/// What selectors see of a proxy.
+/// The properties of a proxy that selectors match.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proxy {
     /// Name of the host it runs on.
@@ -16,16 +16,17 @@
     pub domain: String,
     /// Services its host may run, from its settings.
     pub services: Vec<String>,
-    /// Labels from its settings; the manifest's labels for the host go first.
+    /// Labels from its settings; the manifest's labels for the host take precedence.
     pub labels: Labels,
 }
 
 impl Proxy {
-    /// Returns this proxy with an operator's labels laid over its own.
-    pub fn with_labels(&self, over: Option<&Labels>) -> Proxy {
+    /// Returns this proxy with an operator's labels added; they replace labels of its own
+    /// with the same key.
+    pub fn with_labels(&self, overrides: Option<&Labels>) -> Proxy {
         let mut proxy = self.clone();
-        if let Some(over) = over {
-            proxy.labels.extend(over.iter().map(|(k, v)| (k.clone(), v.clone())));
+        if let Some(overrides) = overrides {
+            proxy.labels.extend(overrides.iter().map(|(k, v)| (k.clone(), v.clone())));
         }
         proxy
     }
@@ -37,15 +38,16 @@
         has_all(config_labels, &self.configs) && self.matches_proxy(proxy)
     }
 
-    /// Returns whether the proxy's side of this selector fits.
+    /// Returns whether the failure domain, services and labels of a proxy match this
+    /// selector, whatever the configuration.
     pub fn matches_proxy(&self, proxy: &Proxy) -> bool {
-        let domain = self.domains.is_empty() || self.domains.contains(&proxy.domain);
-        let service = self.services.is_empty()
+        let domain_matches = self.domains.is_empty() || self.domains.contains(&proxy.domain);
+        let service_matches = self.services.is_empty()
             || self.services.iter().any(|name| proxy.services.contains(name));
-        domain && service && has_all(&proxy.labels, &self.proxies)
+        domain_matches && service_matches && has_all(&proxy.labels, &self.proxies)
     }
 }
 
-fn has_all(labels: &Labels, wanted: &Labels) -> bool {
-    wanted.iter().all(|(key, value)| labels.get(key) == Some(value))
+fn has_all(labels: &Labels, required: &Labels) -> bool {
+    required.iter().all(|(key, value)| labels.get(key) == Some(value))
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,27 +1,27 @@
 //! Small `Copy` keys.
 //!
-//! Hosts, failure domains and objects are named by operators with strings of
-//! any length, yet they are compared and stored on every message. Each is
-//! reduced once, where it enters the process, to a fixed-size hash.
+//! Operators name hosts, failure domains and objects by strings of any length, but
+//! every message compares and stores them. Each string is reduced to a fixed-size
+//! hash once, where it enters the process.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::cmp::Ordering;
 use std::fmt;
 
-/// Number of bytes kept of a SHA-256 when objects are named.
+/// Number of bytes to which the SHA-256 of an object is truncated.
 ///
-/// Sixteen bytes keep accidental collisions out of reach while a manifest root
-/// stays under one kilobyte. Forged objects are kept out by the mesh key, not
-/// by this hash; see `docs/DESIGN.md`, "What is trusted".
+/// Sixteen bytes make accidental collisions negligible and keep a manifest root
+/// under one kilobyte. The mesh key, not this hash, protects against forged
+/// objects; see `docs/DESIGN.md`, "What is trusted".
 pub const HASH_BYTES: usize = 16;
 
-/// Names an immutable object by its contents.
+/// Identifies an immutable object by its contents.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectHash([u8; HASH_BYTES]);
 
 impl ObjectHash {
-    /// Returns the name of an object with these bytes.
+    /// Returns the hash of an object with these bytes.
     ///
     /// # Examples
     ///
@@ -62,7 +62,7 @@
     }
 }
 
-/// Names a host, and with it the one daemon that runs there.
+/// Identifies a host, and with it the only daemon that runs there.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Debug, Default,
 )]
@@ -75,8 +75,8 @@
     }
 }
 
-/// Names what a call asks for: calls with the same contents have the same digest,
-/// whichever id they carry and whichever host they come to.
+/// Fingerprint of a request: calls with the same contents have the same digest, whatever
+/// their request id and whichever host receives them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default)]
 pub struct CallDigest(pub u64);
 
@@ -100,61 +100,62 @@
     }
 }
 
-/// Names one start of one upstream.
+/// Identifies one incarnation of an upstream: a restarted upstream has another key.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Debug, Default,
 )]
 pub struct IncarnationKey(pub u64);
 
 impl IncarnationKey {
-    /// Returns the key of the start with this name in the mesh.
+    /// Returns the key of the incarnation with this name, which is unique in the mesh.
     pub fn of(name: &str) -> IncarnationKey {
         IncarnationKey(hash64(name))
     }
 }
 
-/// Counts one life of a daemon: a later start has a larger number.
+/// Numbers the incarnations of a daemon: each later start has a larger number.
 pub type Incarnation = u64;
 
-/// Numbers accepted configurations in their one total order; zero is "none".
+/// Position of an accepted configuration in the total order; zero means none.
 pub type Version = u64;
 
 /// Position of a key's last change in the store.
 ///
-/// A store that is restored from a copy gives positions out again, and says so by a
-/// higher era. Positions of different eras tell nothing about each other: neither is
-/// later, and a condition on the one proves nothing in the other.
+/// A store that is restored from a backup assigns the same positions again, and marks
+/// this by a higher era. Positions of different eras are not comparable: neither is
+/// later, and a condition on a position of one era proves nothing in another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revision {
-    /// Rises by one each time that the store comes back from a copy.
+    /// Increases by one each time the store is restored from a backup.
     pub era: u64,
-    /// Rises with each change in one era.
+    /// Increases with each change within one era.
     pub number: i64,
 }
 
 impl Revision {
-    /// The position of a key that is not there, in any era.
+    /// The position of a key that does not exist, in any era.
     pub const ABSENT: Revision = Revision { era: 0, number: 0 };
 
-    /// Returns whether it is that of a key that is not there.
+    /// Returns whether this is the position of a key that does not exist.
     pub fn is_absent(self) -> bool {
         self.number == 0
     }
 
-    /// Returns whether what was written here stands in place of what was written there: a
-    /// later era goes before all of an earlier one.
+    /// Returns whether a value written at this position replaces one written at `other`:
+    /// every position of a later era supersedes all positions of an earlier one.
     pub fn supersedes(self, other: Revision) -> bool {
         (self.era, self.number) > (other.era, other.number)
     }
 }
 
-/// Positions compare within an era only.
+/// Positions are ordered only within one era.
 impl PartialOrd for Revision {
     fn partial_cmp(&self, other: &Revision) -> Option<Ordering> {
         (self.era == other.era).then(|| self.number.cmp(&other.number))
     }
 }
 
+/// Returns the first eight bytes of the SHA-256 of a name.
 pub(crate) fn hash64(name: &str) -> u64 {
     let digest = Sha256::digest(name.as_bytes());
     let mut out = [0; 8];
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,15 +1,14 @@
-//! Decisions of cicadashift, free of I/O.
+//! The decision logic of cicadashift, free of I/O.
 //!
-//! Every module here takes events and the present time as arguments and
-//! returns what to do. Nothing reads a clock, opens a socket, starts a thread
-//! or draws a random number of its own. That is what lets `tests/` drive the
-//! same code through scripted failures and lets `spec/` explore it
-//! exhaustively; see `docs/DESIGN.md`, "Decisions apart from I/O".
+//! Every module of this crate takes events and the current time as arguments and
+//! returns the actions to perform. No code reads a clock, opens a socket, starts a
+//! thread or draws a random number. As a result, `tests/` can run the same code
+//! through scripted failures and `spec/` can explore it exhaustively; see `docs/DESIGN.md`, "Decisions apart from I/O".
 //!
-//! Two rows of filters meet here. The configuration path is [`config`] and
+//! The crate contains two pipelines. The configuration path is [`config`] and
 //! [`delivery`]: select, compile, stage, promise, activate. The request path is
-//! [`request`]: match, admit, choose, retry. [`membership`] feeds both, and
-//! [`limit`] keeps what all daemons may do together.
+//! [`request`]: match, admit, choose, retry. Both use [`membership`], and
+//! [`limit`] enforces the quotas that all daemons share.
 
 pub mod config;
 pub mod delivery;
--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations in a configuration: checks, and whose key it is.
+//! Organisations in a configuration: validation, and identification by key.
 
 use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::config::{Config, Priority};
@@ -17,14 +17,14 @@
         r#"[{"name": "town", "keys": ["a", "b"], "rate_per_s": 5, "burst": 7},
             {"name": "clinic", "keys": ["c"], "priority": 0}]"#,
     );
-    let organisations = table.expect("it is good").organisations.expect("they are named");
+    let organisations = table.expect("is valid").organisations.expect("lists organisations");
     let name_of = |key: &str| organisations.find(key.as_bytes()).map(|found| found.name.clone());
     let found: Vec<_> = ["a", "b", "c", "d", ""].iter().map(|key| name_of(key)).collect();
     insta::assert_debug_snapshot!((found, organisations));
 }
 
 #[test]
-fn what_would_be_ambiguous_is_refused() {
+fn ambiguous_and_malformed_organisations_are_rejected() {
     let cases = [
         r#"[{"name": "town", "keys": ["a"]}, {"name": "clinic", "keys": ["a"]}]"#,
         r#"[{"name": "town", "keys": ["a"]}, {"name": "town", "keys": ["b"]}]"#,
@@ -35,16 +35,16 @@
         r#"[{"name": "town", "keys": ["a", "a"]}]"#,
         "[]",
     ];
-    let said: Vec<_> = cases.iter().map(|case| compile(case).err()).collect();
-    insta::assert_debug_snapshot!(said);
+    let errors: Vec<_> = cases.iter().map(|case| compile(case).err()).collect();
+    insta::assert_debug_snapshot!(errors);
 }
 
 #[test]
-fn a_key_stands_in_nothing_that_is_printed() {
-    // Guards against keys in logs and panics.
+fn debug_and_error_output_contains_no_key() {
+    // Guards against keys in logs and panic messages.
     let text = r#"{"id": "c", "routes": [{"service": "s"}],
                    "organisations": [{"name": "town", "keys": ["secret-word"]}]}"#;
-    let cfg = Config::parse(text.as_bytes()).expect("it is good");
+    let cfg = Config::parse(text.as_bytes()).expect("is valid");
     let shared = compile(
         r#"[{"name": "town", "keys": ["secret-word"]}, {"name": "b", "keys": ["secret-word"]}]"#,
     );
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_organisation_goes_before_the_route() {
+fn the_organisation_takes_precedence_over_the_route() {
     let ranks: Vec<_> = [(0, 0), (0, 2), (1, 0), (1, 2), (2, 200), (200, 1)]
         .iter()
         .map(|(organisation, route)| Priority(*route).within(Priority(*organisation)))
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for every order of events.
+//! Property tests: invariants that hold for every sequence of events.
 
 use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::config::delta::Delta;
@@ -18,49 +18,52 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Something that happens to a gate.
+/// An event at a gate.
 #[derive(Clone, Copy, Debug)]
-enum Happens {
-    Arrive { deadline_ms: u64, caller: u64, high: bool, patient: bool },
+enum GateEvent {
+    Arrive { deadline_ms: u64, caller: u64, high: bool, may_wait: bool },
     End { shed: bool, took_ms: u64 },
     Cancel,
     Wait { ms: u64 },
     Drain,
 }
 
-fn happens() -> impl Strategy<Value = Happens> {
+fn gate_event() -> impl Strategy<Value = GateEvent> {
     prop_oneof![
         5 => (0_u64..200, 0_u64..3, any::<bool>(), any::<bool>()).prop_map(
-            |(deadline_ms, caller, high, patient)| {
-                Happens::Arrive { deadline_ms, caller, high, patient }
+            |(deadline_ms, caller, high, may_wait)| {
+                GateEvent::Arrive { deadline_ms, caller, high, may_wait }
             }
         ),
-        4 => (any::<bool>(), 0_u64..50).prop_map(|(shed, took_ms)| Happens::End { shed, took_ms }),
-        1 => Just(Happens::Cancel),
-        2 => (0_u64..60).prop_map(|ms| Happens::Wait { ms }),
-        1 => Just(Happens::Drain),
+        4 => (any::<bool>(), 0_u64..50).prop_map(|(shed, took_ms)| GateEvent::End { shed, took_ms }),
+        1 => Just(GateEvent::Cancel),
+        2 => (0_u64..60).prop_map(|ms| GateEvent::Wait { ms }),
+        1 => Just(GateEvent::Drain),
     ]
 }
 
-/// What is known of each call that the gate took in.
+/// Model of the calls that the gate admitted or queued.
 #[derive(Default)]
-struct Seen {
+struct GateModel {
     deadlines: BTreeMap<Ticket, Instant>,
     waiting: BTreeSet<Ticket>,
     running: BTreeSet<Ticket>,
 }
 
-impl Seen {
-    fn tell(&mut self, wakes: Vec<Wake>, now: Instant) {
+impl GateModel {
+    fn apply(&mut self, wakes: Vec<Wake>, now: Instant) {
         for wake in wakes {
             match wake {
                 Wake::Run(ticket) => {
-                    assert!(self.waiting.remove(&ticket), "only a waiting call is let in");
-                    assert!(now < self.deadlines[&ticket], "nothing begins after its deadline");
+                    assert!(self.waiting.remove(&ticket), "only a waiting call may start");
+                    assert!(now < self.deadlines[&ticket], "no call starts after its deadline");
                     self.running.insert(ticket);
                 }
                 Wake::Refuse(ticket, _) => {
-                    assert!(self.waiting.remove(&ticket), "each call is told once");
+                    assert!(
+                        self.waiting.remove(&ticket),
+                        "each waiting call is refused at most once"
+                    );
                 }
             }
         }
@@ -74,14 +77,14 @@
     #[test]
     fn a_gate_never_runs_more_than_its_slots(
         slots in 1_u32..5,
-        events in proptest::collection::vec(happens(), 1..120),
+        events in proptest::collection::vec(gate_event(), 1..120),
     ) {
         let mut gate = Gate::new(slots);
         let mut now = Instant::now();
-        let mut seen = Seen::default();
+        let mut model = GateModel::default();
         for event in events {
             match event {
-                Happens::Arrive { deadline_ms, caller, high, patient } => {
+                GateEvent::Arrive { deadline_ms, caller, high, may_wait } => {
                     let deadline = now + Duration::from_millis(deadline_ms);
                     let priority = if high { Priority::HIGH } else { Priority::LOW };
                     let caller = CallerKey(caller);
@@ -91,52 +94,52 @@
                         priority,
                         caller,
                         kind: KindKey::default(),
-                        most_wait: if patient { Duration::MAX } else { Duration::ZERO },
+                        most_wait: if may_wait { Duration::MAX } else { Duration::ZERO },
                     };
                     match gate.admit(arrival, now, 7) {
                         Admission::Run(ticket) => {
-                            seen.deadlines.insert(ticket, deadline);
-                            seen.running.insert(ticket);
+                            model.deadlines.insert(ticket, deadline);
+                            model.running.insert(ticket);
                         }
                         Admission::Wait(ticket) => {
-                            prop_assert!(patient, "who may not wait is told so");
-                            seen.deadlines.insert(ticket, deadline);
-                            seen.waiting.insert(ticket);
+                            prop_assert!(may_wait, "a call that may not wait is not queued");
+                            model.deadlines.insert(ticket, deadline);
+                            model.waiting.insert(ticket);
                         }
                         Admission::Refuse(_) => {}
                     }
                 }
-                Happens::End { shed, took_ms } => {
-                    let Some(ticket) = seen.running.pop_first() else { continue };
+                GateEvent::End { shed, took_ms } => {
+                    let Some(ticket) = model.running.pop_first() else { continue };
                     let took = Duration::from_millis(took_ms);
                     let end = if shed { End::Shed } else { End::Answered(took) };
                     let wakes = gate.ended(ticket, end, now);
-                    seen.tell(wakes, now);
+                    model.apply(wakes, now);
                 }
-                Happens::Cancel => {
-                    if let Some(ticket) = seen.waiting.pop_first() {
+                GateEvent::Cancel => {
+                    if let Some(ticket) = model.waiting.pop_first() {
                         gate.cancel(ticket);
                     }
                 }
-                Happens::Wait { ms } => {
+                GateEvent::Wait { ms } => {
                     now += Duration::from_millis(ms);
                     let wakes = gate.tick(now);
-                    seen.tell(wakes, now);
+                    model.apply(wakes, now);
                 }
-                Happens::Drain => {
+                GateEvent::Drain => {
                     let wakes = gate.drain();
-                    seen.tell(wakes, now);
-                    prop_assert!(seen.waiting.is_empty());
+                    model.apply(wakes, now);
+                    prop_assert!(model.waiting.is_empty());
                 }
             }
             prop_assert!(gate.running() <= slots as usize);
-            prop_assert_eq!(gate.running(), seen.running.len());
-            prop_assert_eq!(gate.queued(), seen.waiting.len());
+            prop_assert_eq!(gate.running(), model.running.len());
+            prop_assert_eq!(gate.queued(), model.waiting.len());
         }
     }
 
     #[test]
-    fn what_may_not_be_repeated_is_not(
+    fn only_repeatable_calls_are_retried_after_an_unknown_outcome(
         attempts in proptest::collection::vec(0_u8..3, 1..8),
         repeatable in any::<bool>(),
     ) {
@@ -159,11 +162,11 @@
             };
             let verdict = call.after(attempt, Duration::from_secs(1), &mut budget, 3);
             may_have_run |= attempt == Attempt::Unknown;
-            let again = verdict == Verdict::Again;
-            prop_assert!(!(again && may_have_run && !repeatable), "sent again after unknown");
+            let retried = verdict == Verdict::Again;
+            prop_assert!(!(retried && may_have_run && !repeatable), "retried after an unknown outcome");
             let refused = matches!(verdict, Verdict::Refuse { .. });
-            prop_assert!(!(refused && may_have_run), "told not run of what may have run");
-            if !again {
+            prop_assert!(!(refused && may_have_run), "refused as not run, but may have run");
+            if !retried {
                 break;
             }
         }
@@ -182,7 +185,7 @@
     }
 
     #[test]
-    fn a_picker_never_grows_past_those_present(
+    fn a_picker_keeps_only_the_upstreams_present(
         sets in proptest::collection::vec(proptest::collection::btree_set(0_u64..40, 0..10), 1..40),
     ) {
         let now = Instant::now();
@@ -205,7 +208,7 @@
             prop_assert_eq!(picker.len(), set.len());
             if let Ok(choice) = picker.choose(demand, now, 11, &[]) {
                 prop_assert!(set.contains(&picker.known(choice.key).host.0));
-                prop_assert!(choice.key.0 < 20, "places are used again");
+                prop_assert!(choice.key.0 < 20, "entries of removed upstreams are reused");
             }
         }
     }
@@ -215,12 +218,12 @@
         let mut hosts: Vec<HostKey> = keys.iter().copied().map(HostKey).collect();
         tree::order(&mut hosts, 5);
         let mut reached = Vec::new();
-        let mut left = vec![hosts.clone()];
+        let mut pending = vec![hosts.clone()];
         let mut hops = 0;
-        while !left.is_empty() {
+        while !pending.is_empty() {
             hops += 1;
             let mut next = Vec::new();
-            for list in left {
+            for list in pending {
                 let branches = tree::branches(&list, tree::FANOUT);
                 prop_assert!(branches.len() <= tree::FANOUT);
                 for branch in branches {
@@ -229,7 +232,7 @@
                 }
             }
             next.retain(|rest| !rest.is_empty());
-            left = next;
+            pending = next;
         }
         reached.sort_unstable();
         hosts.sort_unstable();
@@ -238,14 +241,14 @@
     }
 
     #[test]
-    fn records_end_the_same_in_any_order(
+    fn records_merge_to_the_same_table_in_any_order(
         records in proptest::collection::vec((0_u64..3, 0_u64..4, 0_u64..4, 0_u8..4), 1..20),
-        turn in any::<prop::sample::Index>(),
+        rotation in any::<prop::sample::Index>(),
     ) {
         let now = Instant::now();
         let records: Vec<Record> = records.into_iter().map(record).collect();
-        let mut turned = records.clone();
-        turned.rotate_left(turn.index(records.len()));
+        let mut rotated = records.clone();
+        rotated.rotate_left(rotation.index(records.len()));
         let apply = |records: Vec<Record>| {
             let mut table = Table::new(record((99, 1, 1, 0)), now);
             for record in records {
@@ -255,11 +258,11 @@
             rows.sort();
             (rows, table.digest())
         };
-        prop_assert_eq!(apply(records), apply(turned));
+        prop_assert_eq!(apply(records), apply(rotated));
     }
 
-    // The route that is found is the longest prefix that the path is under, with the
-    // host named before any host, as a look at every route finds it.
+    // Compares the look-up with a scan of all routes. The expected route has the longest
+    // prefix that matches the path; a route for the given host precedes one for any host.
     #[test]
     fn the_most_specific_route_is_found(
         routes in proptest::collection::btree_set(("(h)?", "/([ab]/?){0,3}"), 1..12),
@@ -276,7 +279,7 @@
             .collect();
         let text = serde_json::json!({"id": "c", "routes": rows}).to_string();
         let Ok(cfg) = Config::parse(text.as_bytes()) else { return Ok(()) };
-        let table = RoutingTable::compile(1, vec![cfg]).expect("all differ");
+        let table = RoutingTable::compile(1, vec![cfg]).expect("the routes are distinct");
         let is_under = |prefix: &str| {
             path.strip_prefix(prefix).is_some_and(|rest| {
                 prefix.ends_with('/') || rest.is_empty() || rest.starts_with('/')
@@ -284,8 +287,8 @@
         };
         let expected = routes
             .iter()
-            .filter(|(named, prefix)| (named.is_empty() || *named == host) && is_under(prefix))
-            .max_by_key(|(named, prefix)| (!named.is_empty(), prefix.len()));
+            .filter(|(route_host, prefix)| (route_host.is_empty() || *route_host == host) && is_under(prefix))
+            .max_by_key(|(route_host, prefix)| (!route_host.is_empty(), prefix.len()));
         let found = table.find(Some(&host), &path, "GET").and_then(|key| table.route(key).cloned());
         prop_assert_eq!(
             found.map(|route| (route.host.clone().unwrap_or_default(), route.prefix.clone())),
@@ -293,10 +296,10 @@
         );
     }
 
-    // Texts of a few pieces in common, in any order: what is made of the changes is
-    // the newer text, and on any other text nothing is made.
+    // The texts share some pieces, in any order. Applied to the older text, the delta gives
+    // the newer text; applied to another text, it gives the newer text or nothing.
     #[test]
-    fn changes_make_the_newer_text_of_the_older(
+    fn applying_a_delta_gives_the_newer_text_or_nothing(
         old in proptest::collection::vec("[ab]{0,3}\\}?", 0..20),
         new in proptest::collection::vec("[ab]{0,3}\\}?", 0..20),
         other in "[ab}]{0,30}",
@@ -304,13 +307,13 @@
         let (old, new) = (old.concat(), new.concat());
         let delta = Delta::between(old.as_bytes(), new.as_bytes());
         prop_assert_eq!(delta.apply(old.as_bytes()), Some(new.clone().into_bytes()));
-        if let Some(made) = delta.apply(other.as_bytes()) {
-            prop_assert_eq!(made, new.into_bytes());
+        if let Some(result) = delta.apply(other.as_bytes()) {
+            prop_assert_eq!(result, new.into_bytes());
         }
     }
 
     #[test]
-    fn arbitrary_text_is_no_panic(buf in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn parsing_arbitrary_bytes_does_not_panic(buf in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _config = Config::parse(&buf);
         let _selector = Selector::parse(&buf);
     }
