--- a/crates/core/src/limit/keeper.rs
+++ b/crates/core/src/limit/keeper.rs
@@ -1,45 +1,47 @@
-//! The account that a keeper has of one limit.
+//! The account by which a keeper enforces one limit.
 //!
 //! # Load pattern
 //!
-//! An organisation asks several times what it may, at hundreds of daemons: the account
-//! runs down within a second, and from then on each daemon is told to admit the share
-//! that brings the sum to the rate. Organisations below their limit are told to admit all.
+//! An organisation calls at several times its limit, at hundreds of daemons: the account
+//! runs down within a second, and from then on each daemon is granted the share that
+//! brings the sum of admitted calls to the rate. Daemons are granted all calls of
+//! organisations below their limit.
 
 use super::{Grant, LimitKey, Quota, REPORT_EVERY, Usage};
 use std::time::{Duration, Instant};
 
-/// Times over which demand is averaged; the larger average counts. The short one is a
-/// report of each daemon, so that a jump is seen at once, the long one steadies it.
-const DEMAND_OVER: [Duration; 2] = [REPORT_EVERY, Duration::from_millis(750)];
-/// Time after the last report in which a limit counts as asked for.
-const ASKED_FOR: Duration = Duration::from_millis(750);
-/// Calls by which a limit may be exceeded. Without them the chance of some calls coming
-/// together would count as too many where a limit is a few calls a second.
+/// Averaging windows of the demand; the larger average counts. The short window is one
+/// report interval, so that a jump in demand is seen at once; the long one smooths it.
+const DEMAND_WINDOWS: [Duration; 2] = [REPORT_EVERY, Duration::from_millis(750)];
+/// Time after the last usage report during which a limit counts as in use.
+const IN_USE_FOR: Duration = Duration::from_millis(750);
+/// Calls by which a limit may be exceeded. Without this tolerance, a few calls that happen
+/// to arrive together would exceed a limit of a few calls a second.
 const TOLERANCE: f64 = 10.0;
-/// Share of the burst and the tolerance below which admission is held back.
-const HOLD_BACK_BELOW: f64 = 0.5;
-/// Time in which a debt is paid back, or what is left of the burst is given out.
-const SETTLE_OVER: Duration = Duration::from_millis(1000);
-/// Time after which the account of a limit that nobody asks for is forgotten.
+/// Fraction of the burst plus the tolerance; while more is left, all calls are granted
+/// whatever the demand.
+const THROTTLE_BELOW: f64 = 0.5;
+/// Time in which a debt is paid back, or the rest of the burst is spent.
+const SETTLE_TIME: Duration = Duration::from_millis(1000);
+/// Time without usage reports after which the account of a limit is dropped.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// The part of a limit that a keeper counts with.
+/// The part of a quota that a keeper enforces.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaPart {
     /// Calls a second.
     rate_per_s: f64,
-    /// Calls beyond the rate after a time without any.
+    /// Calls that may be admitted beyond the rate after an idle period.
     burst: f64,
-    /// Calls by which both may be exceeded.
+    /// Calls by which rate and burst may be exceeded.
     tolerance: f64,
 }
 
 impl QuotaPart {
-    /// Returns the part of a keeper that sees `live` daemons and lost sight of `lost`.
+    /// Returns the part of a keeper that sees `live` daemons and has lost `lost` others.
     ///
-    /// Failure: the mesh is split and each part keeps the limit by itself. Symptom: an
-    /// organisation gets its limit once in each part.
+    /// Failure: the mesh is split and each partition has its own keeper. Symptom: an
+    /// organisation gets its whole limit in each partition.
     pub fn of(quota: Quota, live: usize, lost: usize) -> QuotaPart {
         let part = live as f64 / (live + lost).max(1) as f64;
         QuotaPart {
@@ -50,38 +52,40 @@
     }
 }
 
-/// A limit's account at its keeper.
+/// A limit's account at its keeper: a token bucket that may go into debt, and the demand.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// Calls that may be admitted at once; below zero is a debt.
+    /// Calls that may be admitted at once; a negative level is a debt.
     level: f64,
-    /// Calls offered a second, averaged over [`DEMAND_OVER`].
+    /// Calls offered a second, averaged over each of [`DEMAND_WINDOWS`].
     demand: [f64; 2],
-    at: Instant,
-    /// When a daemon last reported.
-    reported: Instant,
+    /// When level and demand were last brought up to date.
+    updated: Instant,
+    /// When a daemon last reported usage.
+    last_report: Instant,
 }
 
 impl Account {
-    /// Opens the account of a keeper that does not know what was spent.
+    /// Creates an account with an empty bucket, since a new keeper does not know how much
+    /// of the burst was spent.
     pub fn new(now: Instant) -> Account {
-        Account { level: 0.0, demand: [0.0; 2], at: now, reported: now }
+        Account { level: 0.0, demand: [0.0; 2], updated: now, last_report: now }
     }
 
-    /// Takes one daemon's report in. `part` is what counts here of the limit.
+    /// Adds one daemon's usage report. `part` is the part of the limit enforced here.
     pub fn add_usage(&mut self, usage: &Usage, part: QuotaPart, now: Instant) {
         self.advance(part, now);
-        self.reported = now;
+        self.last_report = now;
         self.level -= f64::from(usage.admitted);
-        for (demand, over) in self.demand.iter_mut().zip(DEMAND_OVER) {
-            *demand += f64::from(usage.offered) / over.as_secs_f64();
+        for (demand, window) in self.demand.iter_mut().zip(DEMAND_WINDOWS) {
+            *demand += f64::from(usage.offered) / window.as_secs_f64();
         }
     }
 
-    /// Returns what may be admitted of what is offered next.
+    /// Returns the grant for the calls offered next.
     pub fn grant(&self, key: LimitKey, part: QuotaPart) -> Grant {
         let room = self.level + part.tolerance;
-        let share = match room >= (part.burst + part.tolerance) * HOLD_BACK_BELOW {
+        let share = match room >= (part.burst + part.tolerance) * THROTTLE_BELOW {
             true => 1.0,
             false => self.share(part, room),
         };
@@ -89,7 +93,7 @@
     }
 
     fn share(&self, part: QuotaPart, room: f64) -> f64 {
-        let target = part.rate_per_s + room / SETTLE_OVER.as_secs_f64();
+        let target = part.rate_per_s + room / SETTLE_TIME.as_secs_f64();
         let demand = self.demand[0].max(self.demand[1]);
         match demand > 0.0 {
             true => (target / demand).clamp(0.0, 1.0),
@@ -97,32 +101,32 @@
         }
     }
 
-    /// Returns what is to be told to all daemons, where the limit is held back and calls
-    /// came lately.
+    /// Returns the grant to send to all daemons, or `None` if the limit is not throttled or
+    /// was not in use lately.
     pub fn reduced_grant(&mut self, key: LimitKey, part: QuotaPart, now: Instant) -> Option<Grant> {
-        let is_asked = now.saturating_duration_since(self.reported) < ASKED_FOR;
+        let is_in_use = now.saturating_duration_since(self.last_report) < IN_USE_FOR;
         self.advance(part, now);
-        Some(self.grant(key, part)).filter(|grant| is_asked && grant.share < Grant::ALL)
+        Some(self.grant(key, part)).filter(|grant| is_in_use && grant.share < Grant::ALL)
     }
 
-    /// Returns the calls that may be admitted at once, below zero a debt, and those offered
-    /// a second.
+    /// Returns the calls that may be admitted at once, negative for a debt, and the calls
+    /// offered a second.
     pub fn balance(&mut self, part: QuotaPart, now: Instant) -> (f64, f64) {
         self.advance(part, now);
         (self.level, self.demand[1])
     }
 
-    /// Returns whether nothing is lost by forgetting the account.
+    /// Returns whether the account can be dropped without losing anything.
     pub fn is_idle(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.reported) >= FORGET_AFTER
+        now.saturating_duration_since(self.last_report) >= FORGET_AFTER
     }
 
     fn advance(&mut self, part: QuotaPart, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.level = (self.level + part.rate_per_s * passed).min(part.burst);
-        for (demand, over) in self.demand.iter_mut().zip(DEMAND_OVER) {
-            *demand *= (-passed / over.as_secs_f64()).exp();
+        let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
+        self.updated = self.updated.max(now);
+        self.level = (self.level + part.rate_per_s * elapsed).min(part.burst);
+        for (demand, window) in self.demand.iter_mut().zip(DEMAND_WINDOWS) {
+            *demand *= (-elapsed / window.as_secs_f64()).exp();
         }
     }
 }
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -1,38 +1,43 @@
-//! Limits that all daemons keep together.
+//! Limits that apply to the whole mesh.
 //!
-//! A limit is a rate and a burst for the whole mesh, such as an organisation's quota.
-//! Dividing it evenly by the daemons refuses calls wherever demand is uneven, and with
-//! more daemons than the limit has calls a second nobody's share is a whole call. So a
-//! limit is never divided by members:
+//! A limit is a rate and a burst for all daemons together, such as an organisation's
+//! quota. Dividing it evenly among the daemons would refuse calls wherever demand is
+//! uneven, and with more daemons than the limit has calls a second, each daemon's part
+//! would be less than one call. A limit is therefore never divided by the number of
+//! members:
 //!
-//! - One daemon, the *keeper*, counts what all admit ([`keeper`]). It answers each report
-//!   with the share of the calls offered that may be admitted.
-//! - Each daemon admits that share of what is offered to it ([`share`]), by chance, and
-//!   reports what was offered and admitted some times a second.
-//! - While a share is below one, the keeper lets all daemons know it. Otherwise those at
-//!   which an organisation asks seldom would admit their first call each, and that sum
-//!   grows with the mesh.
+//! - One daemon, the *keeper*, counts the calls that all daemons admit ([`keeper`]). It
+//!   answers each usage report with a grant: the share of the offered calls that may be
+//!   admitted.
+//! - Each daemon admits this share of the calls offered to it ([`share`]), at random, and
+//!   reports the offered and admitted calls a few times a second.
+//! - While a share is below one, the limit is *throttled* and the keeper sends the grant
+//!   to all daemons. Otherwise each daemon that rarely sees a call of the organisation
+//!   would admit its first one, and the sum of these calls grows with the mesh.
 //!
-//! Below the limit the share is one: a call costs a look at a number, and no call waits
-//! for a message.
+//! Below the limit the share is one: a call costs a comparison with a number in memory,
+//! and no call waits for a message.
 //!
 //! # Why the limit holds
 //!
-//! What is admitted before a keeper notices that a limit is reached becomes a debt in its
-//! account, which is paid back by what it admits next. A sliding window therefore never
-//! holds more than the burst, the rate and the debt at its end.
+//! Calls that are admitted before a keeper notices that a limit is reached become a debt
+//! in its account, which is paid back by admitting fewer calls afterwards. A sliding
+//! window therefore never holds more calls than the burst, the rate and the debt at its
+//! end.
 //!
-//! - *A daemon hears nothing of its keeper*: it goes on with a little more than it admitted
-//!   before, see [`share::Limiter`]. The sum over such daemons is what they had together.
-//! - *The mesh is split*: each part has a keeper of its own, which counts with the part of
-//!   the limit that its part of the daemons is of all.
-//! - *A keeper ends*: the next one begins with the rate alone, since nobody knows what was
-//!   spent of the burst.
+//! - *A daemon receives no answer from its keeper*: it continues at slightly more than the
+//!   rate it admitted before, see [`share::Limiter`]. The sum over such daemons is close to
+//!   the rate that they had together.
+//! - *The mesh is split*: each partition has its own keeper, which enforces the fraction of
+//!   the limit that its live daemons are of all daemons.
+//! - *A keeper ends*: the next keeper starts with the rate alone and no burst, since it
+//!   does not know how much of the burst was spent.
 //!
 //! # Limits of this design
 //!
-//! While daemons do not agree who keeps a limit, for about a second after a change of
-//! membership, each of two keepers sees a part of the demand and admits more of it.
+//! For about a second after a change of membership, daemons may not agree which of them is
+//! the keeper of a limit. Each of two keepers then sees only part of the demand and grants
+//! too large a share of it.
 
 pub mod keeper;
 pub mod share;
@@ -41,21 +46,21 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Time between two notices of a keeper while limits stay held back.
+/// Interval between two notices of a keeper while limits stay throttled.
 pub const NOTICE_EVERY: Duration = Duration::from_millis(500);
-/// Time between two reports of a daemon to a keeper.
+/// Interval between two usage reports of a daemon to a keeper.
 pub const REPORT_EVERY: Duration = Duration::from_millis(250);
 
-/// Calls that all daemons together may let through.
+/// Rate and burst of the calls that all daemons together may admit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
     /// Calls a second.
     pub rate_per_s: u64,
-    /// Calls beyond the rate after a time without any.
+    /// Calls that may be admitted beyond the rate after an idle period.
     pub burst: u64,
 }
 
-/// Names a limit.
+/// Identifies a limit.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Debug, Default,
 )]
@@ -68,38 +73,40 @@
     }
 }
 
-/// What one daemon saw of a limit since its last report.
+/// Usage report: the calls that one daemon counted under a limit since its last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Which limit.
+    /// The limit.
     pub key: LimitKey,
-    /// Calls that came.
+    /// Calls that arrived.
     pub offered: u32,
-    /// Those of them that were let through and not refused later as not run.
+    /// Calls that were admitted, without those that then did not run.
     pub admitted: u32,
 }
 
-/// How much of what is offered may be admitted, as a keeper tells it.
+/// The share of the offered calls that a keeper allows to be admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Which limit.
+    /// The limit.
     pub key: LimitKey,
-    /// Calls of 10,000.
+    /// Calls admitted of 10,000 offered.
     pub share: u16,
 }
 
-/// Limits that are held back, for all daemons.
+/// Grants of throttled limits, sent to all daemons.
+///
+/// A limit that is no longer throttled is listed once more, with [`Grant::ALL`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Who keeps them.
+    /// The keeper of these limits.
     pub keeper: HostKey,
-    /// Rises with each notice of one keeper.
+    /// Increases with each notice of one keeper.
     pub number: u64,
-    /// What may be admitted.
+    /// The grants, by limit.
     pub grants: Vec<Grant>,
 }
 
 impl Grant {
-    /// Everything may be admitted.
+    /// The share that admits all calls.
     pub const ALL: u16 = 10_000;
 }
--- a/crates/core/src/limit/share.rs
+++ b/crates/core/src/limit/share.rs
@@ -1,128 +1,137 @@
-//! What one daemon admits of one limit.
+//! Admission of calls under one limit at one daemon.
 
 use super::{Grant, LimitKey, NOTICE_EVERY, Usage};
 use std::time::{Duration, Instant};
 
-/// How long a keeper's word counts; some reports may be lost.
-const GRANT_LASTS: Duration = Duration::from_millis(1500);
-/// How long a share below one counts at a daemon that admits nothing, hence reports
-/// nothing and is answered nothing. As long as it takes a split mesh to find new keepers;
-/// the end of holding back is told.
-const NOTICE_LASTS: Duration = NOTICE_EVERY.saturating_mul(10);
-/// Time over which what was admitted is averaged, to go on with it without a keeper.
-const RATE_OVER: Duration = Duration::from_secs(3);
-/// Time after which a limit that nobody asks for is forgotten.
+/// Time for which a grant is valid. Longer than a report interval, since some reports may
+/// be lost.
+const GRANT_TTL: Duration = Duration::from_millis(1500);
+/// Time for which a reduced share is valid at a daemon without calls, which reports no
+/// usage and so receives no grants in answer. This is the time that a split mesh takes to
+/// find new keepers. The end of throttling is announced by a notice.
+const REDUCED_SHARE_TTL: Duration = NOTICE_EVERY.saturating_mul(10);
+/// Averaging window of the admitted rate, at which a daemon continues without a keeper.
+const RATE_WINDOW: Duration = Duration::from_secs(3);
+/// Time without calls after which the limiter of a limit is dropped.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// What may be admitted without a keeper, of what was admitted before.
-const ALONE_FACTOR: f64 = 1.25;
-/// Calls that may be admitted beyond that, so that a daemon which admitted little is
-/// not shut.
-const ALONE_BURST: f64 = 2.0;
+/// Rate admitted without a keeper, relative to the rate admitted before.
+const FALLBACK_RATE_FACTOR: f64 = 1.25;
+/// Calls that may be admitted beyond this rate, so that a daemon that admitted few calls
+/// before does not refuse all of them.
+const FALLBACK_BURST: f64 = 2.0;
 
-/// One daemon's part in a limit.
+/// Admission under one limit at one daemon, by the share that the keeper granted.
+///
+/// Where the daemon has calls but no grant arrived within [`GRANT_TTL`], a token bucket
+/// also bounds the admitted calls to slightly more than the rate admitted before.
 #[derive(Clone, Debug)]
 pub struct Limiter {
+    /// Calls offered and admitted since the last usage report.
     offered: u32,
     admitted: u32,
-    /// Calls of [`Grant::ALL`] that may be admitted, and until when that counts.
-    granted: u16,
-    until: Instant,
-    /// When the keeper's last word came.
-    heard: Instant,
-    /// Calls admitted a second, averaged.
-    rate: f64,
+    /// Calls of [`Grant::ALL`] that may be admitted, and when this grant expires.
+    granted_share: u16,
+    grant_expires: Instant,
+    /// When the last grant arrived.
+    last_grant: Instant,
+    /// Calls admitted a second, averaged over [`RATE_WINDOW`].
+    admitted_per_s: f64,
     /// Calls that may be admitted without a keeper.
-    alone: f64,
-    at: Instant,
+    fallback_tokens: f64,
+    /// When the rate and the tokens were last brought up to date.
+    updated: Instant,
 }
 
 impl Limiter {
-    /// Makes the part of a daemon that has heard nothing yet; it admits everything until
-    /// its keeper had time to answer.
+    /// Creates a limiter without a grant; it admits all calls until its keeper has had time
+    /// to answer.
     pub fn new(now: Instant) -> Limiter {
         Limiter {
             offered: 0,
             admitted: 0,
-            granted: Grant::ALL,
-            until: now + GRANT_LASTS,
-            heard: now,
-            rate: 0.0,
-            alone: ALONE_BURST,
-            at: now,
+            granted_share: Grant::ALL,
+            grant_expires: now + GRANT_TTL,
+            last_grant: now,
+            admitted_per_s: 0.0,
+            fallback_tokens: FALLBACK_BURST,
+            updated: now,
         }
     }
 
-    /// Decides about one call; `random` is any number.
+    /// Returns whether to admit one call; `random` is any number.
     ///
-    /// While the limit is held back, a call whose answer would be late whatever is done
-    /// does not take the place of one that can still be in time, and does not count as
-    /// offered.
+    /// While the limit is throttled, a call whose answer would be late in any case
+    /// (`is_late`) is refused, so that it does not take the place of a call that can still
+    /// be answered in time. It does not count as offered.
     pub fn admit(&mut self, is_late: bool, now: Instant, random: u64) -> bool {
         self.advance(now);
-        if is_late && self.granted < Grant::ALL {
+        if is_late && self.granted_share < Grant::ALL {
             return false;
         }
         self.offered = self.offered.saturating_add(1);
-        let is_admitted = match now < self.until {
+        let is_admitted = match now < self.grant_expires {
             true => self.is_granted(random),
-            false => self.alone >= 1.0 && self.is_granted(random),
+            false => self.fallback_tokens >= 1.0 && self.is_granted(random),
         };
         if is_admitted {
             self.admitted = self.admitted.saturating_add(1);
-            self.alone = (self.alone - 1.0).max(0.0);
-            self.rate += 1.0 / RATE_OVER.as_secs_f64();
+            self.fallback_tokens = (self.fallback_tokens - 1.0).max(0.0);
+            self.admitted_per_s += 1.0 / RATE_WINDOW.as_secs_f64();
         }
         is_admitted
     }
 
     fn is_granted(&self, random: u64) -> bool {
-        random % u64::from(Grant::ALL) < u64::from(self.granted)
+        random % u64::from(Grant::ALL) < u64::from(self.granted_share)
     }
 
-    /// Takes in that a call which was admitted did not run after all.
+    /// Subtracts a call that was admitted but did not run from the usage.
     pub fn give_back(&mut self) {
         self.admitted = self.admitted.saturating_sub(1);
     }
 
-    /// Takes the keeper's word in.
+    /// Applies a grant of the keeper.
     pub fn apply_grant(&mut self, grant: Grant, now: Instant) {
-        self.granted = grant.share;
-        self.until = now + GRANT_LASTS;
-        self.heard = now;
+        self.granted_share = grant.share;
+        self.grant_expires = now + GRANT_TTL;
+        self.last_grant = now;
     }
 
-    /// Returns what is to be reported, and begins to count anew.
+    /// Returns the usage to report, or `None` if no calls were offered, and resets the
+    /// counters.
     pub fn take_usage(&mut self, key: LimitKey) -> Option<Usage> {
         let usage = Usage { key, offered: self.offered, admitted: self.admitted };
         (self.offered, self.admitted) = (0, 0);
         (usage.offered > 0).then_some(usage)
     }
 
-    /// Returns the share of [`Grant::ALL`] that is admitted, and calls admitted a second.
+    /// Returns how many calls of [`Grant::ALL`] are admitted, and the calls admitted a
+    /// second.
     pub fn share_and_rate(&self, now: Instant) -> (u16, f64) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        (self.granted, self.rate * (-passed / RATE_OVER.as_secs_f64()).exp())
+        let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
+        (self.granted_share, self.admitted_per_s * (-elapsed / RATE_WINDOW.as_secs_f64()).exp())
     }
 
-    /// Returns whether nothing is lost by forgetting it.
+    /// Returns whether the limiter can be dropped without losing anything.
     pub fn is_idle(&self, now: Instant) -> bool {
-        self.offered == 0 && now.saturating_duration_since(self.at) >= FORGET_AFTER
+        self.offered == 0 && now.saturating_duration_since(self.updated) >= FORGET_AFTER
     }
 
     fn advance(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at);
-        // Without calls there was nothing to report and no answer to be had.
-        if passed >= GRANT_LASTS {
-            self.until = self.until.max(now + GRANT_LASTS);
-            if now.saturating_duration_since(self.heard) >= NOTICE_LASTS {
-                self.granted = Grant::ALL;
+        let elapsed = now.saturating_duration_since(self.updated);
+        // A daemon without calls sends no usage report, so it receives no grant in answer.
+        if elapsed >= GRANT_TTL {
+            self.grant_expires = self.grant_expires.max(now + GRANT_TTL);
+            if now.saturating_duration_since(self.last_grant) >= REDUCED_SHARE_TTL {
+                self.granted_share = Grant::ALL;
             }
         }
-        self.at = self.at.max(now);
-        let seconds = passed.as_secs_f64();
-        let kept = (-seconds / RATE_OVER.as_secs_f64()).exp();
-        let earned = self.rate * ALONE_FACTOR * seconds;
-        self.alone = (self.alone + earned).min(ALONE_BURST + self.rate);
-        self.rate *= kept;
+        self.updated = self.updated.max(now);
+        let seconds = elapsed.as_secs_f64();
+        let decay = (-seconds / RATE_WINDOW.as_secs_f64()).exp();
+        let earned = self.admitted_per_s * FALLBACK_RATE_FACTOR * seconds;
+        self.fallback_tokens =
+            (self.fallback_tokens + earned).min(FALLBACK_BURST + self.admitted_per_s);
+        self.admitted_per_s *= decay;
     }
 }
--- a/crates/core/src/membership/detector.rs
+++ b/crates/core/src/membership/detector.rs
@@ -1,76 +1,80 @@
-//! Which members answer.
+//! Failure detector: probes members and decides which of them are suspect or dead.
 //!
-//! Each period one member is probed, in a shuffled round, so that everybody is
-//! probed within a bounded time and the work of a member does not grow with
-//! their number. A missed answer is asked for through [`HELPERS`] others before
-//! the member is suspected; a suspect has [`SUSPICION`] to refute before it is
-//! believed dead.
+//! One member is probed per interval, in rounds of shuffled order, so that every
+//! member is probed within a bounded time and the work per member does not grow
+//! with their number. A member that does not answer is probed through [`HELPERS`]
+//! other members before it is suspected; a suspect has [`SUSPICION_TIMEOUT`] to
+//! refute the suspicion before it is declared dead.
 //!
-//! A daemon that was itself frozen sees that from the gap between two ticks. It
-//! then believes nothing of what it missed: the others were not silent, it was
-//! deaf.
+//! A daemon that was itself frozen detects this by the gap between two ticks.
+//! Answers that it missed meanwhile do not count against the other members: they
+//! were not silent, this daemon could not receive.
 
 use crate::ids::HostKey;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Time between two probes of one daemon.
-pub const PERIOD: Duration = Duration::from_millis(1000);
-/// Wait for a direct answer before others are asked to probe.
-pub const DIRECT_WAIT: Duration = Duration::from_millis(300);
-/// Members asked to probe for us.
+/// Interval between two probes that one daemon sends.
+pub const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
+/// Time to wait for an answer to a direct probe before sending indirect probes.
+pub const DIRECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Members that are asked to send an indirect probe.
 pub const HELPERS: usize = 3;
-/// Time a suspect has to refute.
-pub const SUSPICION: Duration = Duration::from_millis(2500);
-/// Gap between ticks that means this daemon itself was frozen.
-pub const PAUSE: Duration = Duration::from_millis(2000);
+/// Time that a suspect has to refute the suspicion.
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Gap between two ticks from which on this daemon counts as having been frozen.
+pub const FREEZE_GAP: Duration = Duration::from_millis(2000);
 
-/// What the detector wants done.
+/// Action that the detector requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Probe this member directly.
     DirectProbe(HostKey),
     /// Ask `helper` to probe `target`.
     IndirectProbe { helper: HostKey, target: HostKey },
-    /// Believe the member suspect.
+    /// Mark the member as suspect.
     Suspect(HostKey),
-    /// Believe the member dead.
+    /// Mark the member as dead.
     Dead(HostKey),
-    /// This daemon was frozen: compare tables with somebody before trusting own
-    /// beliefs.
+    /// This daemon was frozen for this time: compare tables with another member
+    /// before relying on the own one.
     Frozen(Duration),
 }
 
+/// The last probe while it is not answered.
 #[derive(Clone, Copy, Debug)]
 struct Outstanding {
     target: HostKey,
-    since: Instant,
+    sent: Instant,
+    /// Whether indirect probes were sent.
     indirect: bool,
 }
 
-/// Probes of one daemon.
+/// State of the probes that one daemon sends.
 #[derive(Clone, Debug)]
 pub struct Detector {
+    /// Members still to be probed in this round, the next one last.
     round: Vec<HostKey>,
     outstanding: Option<Outstanding>,
+    /// Suspected members and when the suspicion began.
     suspects: BTreeMap<HostKey, Instant>,
     next_probe: Instant,
     last_tick: Instant,
 }
 
 impl Detector {
-    /// Makes a detector that probes first one period from now.
+    /// Creates a detector whose first probe is due one interval from now.
     pub fn new(now: Instant) -> Detector {
         Detector {
             round: Vec::new(),
             outstanding: None,
             suspects: BTreeMap::new(),
-            next_probe: now + PERIOD,
+            next_probe: now + PROBE_INTERVAL,
             last_tick: now,
         }
     }
 
-    /// Takes in an answer of a member, direct or through others.
+    /// Records an answer of a member to a direct or indirect probe, which ends a suspicion.
     pub fn answered(&mut self, host: HostKey) {
         self.suspects.remove(&host);
         if self.outstanding.is_some_and(|probe| probe.target == host) {
@@ -78,37 +82,37 @@
         }
     }
 
-    /// Starts the suspicion that another member reported.
+    /// Starts the suspicion of a member that another member reported as suspect.
     pub fn suspected(&mut self, host: HostKey, now: Instant) {
         self.suspects.entry(host).or_insert(now);
     }
 
-    /// Does what is due at this time.
+    /// Returns the actions that are due.
     ///
-    /// `others` are the live members but this one; `random` is any number.
+    /// `others` are the live members except this one; `random` is any number.
     pub fn tick(&mut self, now: Instant, others: &[HostKey], random: u64) -> Vec<Action> {
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
-        if gap >= PAUSE {
-            return self.wake(now, gap);
+        if gap >= FREEZE_GAP {
+            return self.restart_timers(now, gap);
         }
-        let mut probes = Vec::new();
-        self.escalate(now, others, random, &mut probes);
-        self.expire(now, others, &mut probes);
+        let mut actions = Vec::new();
+        self.escalate(now, others, random, &mut actions);
+        self.expire(now, others, &mut actions);
         if now >= self.next_probe {
-            self.next_probe = now + PERIOD;
-            self.start(now, others, random, &mut probes);
+            self.next_probe = now + PROBE_INTERVAL;
+            self.start_probe(now, others, random, &mut actions);
         }
-        probes
+        actions
     }
 
-    /// Forgets what was due while this daemon was frozen.
+    /// Restarts all timers after this daemon was frozen.
     ///
-    /// Failure: a frozen daemon wakes and finds every timer expired. Symptom: it
-    /// believes the whole domain dead and tells so. All timers start anew.
-    fn wake(&mut self, now: Instant, gap: Duration) -> Vec<Action> {
+    /// Failure: a daemon resumes after a freeze and finds every timer expired.
+    /// Symptom: it marks its whole failure domain as dead and spreads this.
+    fn restart_timers(&mut self, now: Instant, gap: Duration) -> Vec<Action> {
         self.outstanding = None;
-        self.next_probe = now + PERIOD;
+        self.next_probe = now + PROBE_INTERVAL;
         self.suspects.values_mut().for_each(|since| *since = now);
         vec![Action::Frozen(gap)]
     }
@@ -118,51 +122,57 @@
         now: Instant,
         others: &[HostKey],
         random: u64,
-        probes: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(probe) = &mut self.outstanding else { return };
-        if !probe.indirect && now >= probe.since + DIRECT_WAIT {
+        if !probe.indirect && now >= probe.sent + DIRECT_TIMEOUT {
             probe.indirect = true;
             let target = probe.target;
             let helpers: Vec<_> = others.iter().filter(|host| **host != target).collect();
             let count = HELPERS.min(helpers.len());
             for i in 0..count {
                 let helper = *helpers[(random as usize).wrapping_add(i) % helpers.len()];
-                probes.push(Action::IndirectProbe { helper, target });
+                actions.push(Action::IndirectProbe { helper, target });
             }
         }
-        if now >= probe.since + PERIOD - Duration::from_millis(50) {
+        if now >= probe.sent + PROBE_INTERVAL - Duration::from_millis(50) {
             let target = probe.target;
             self.outstanding = None;
             if others.contains(&target) && !self.suspects.contains_key(&target) {
                 self.suspects.insert(target, now);
-                probes.push(Action::Suspect(target));
+                actions.push(Action::Suspect(target));
             }
         }
     }
 
-    fn expire(&mut self, now: Instant, others: &[HostKey], probes: &mut Vec<Action>) {
+    fn expire(&mut self, now: Instant, others: &[HostKey], actions: &mut Vec<Action>) {
         self.suspects.retain(|host, _| others.contains(host));
         let dead: Vec<_> = self
             .suspects
             .iter()
-            .filter(|(_, since)| now >= **since + SUSPICION)
+            .filter(|(_, since)| now >= **since + SUSPICION_TIMEOUT)
             .map(|(host, _)| *host)
             .collect();
         for host in dead {
             self.suspects.remove(&host);
-            probes.push(Action::Dead(host));
+            actions.push(Action::Dead(host));
         }
     }
 
-    fn start(&mut self, now: Instant, others: &[HostKey], random: u64, probes: &mut Vec<Action>) {
+    fn start_probe(
+        &mut self,
+        now: Instant,
+        others: &[HostKey],
+        random: u64,
+        actions: &mut Vec<Action>,
+    ) {
         self.round.retain(|host| others.contains(host));
         if self.round.is_empty() {
             self.round = others.to_vec();
             self.round.sort_by_key(|host| crate::delivery::tree::mix(host.0 ^ random));
         }
         let Some(target) = self.round.pop() else { return };
-        self.outstanding = Some(Outstanding { target, since: now, indirect: false });
-        probes.push(Action::DirectProbe(target));
+        self.outstanding = Some(Outstanding { target, sent: now, indirect: false });
+        actions.push(Action::DirectProbe(target));
     }
 }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,58 +1,63 @@
-//! What is still to be told, to whom, and how often.
+//! Gossip: the updates that remain to be sent, their receivers and their repetitions.
 //!
-//! A change is sent in small datagrams to a few random members of the failure domain,
-//! in [`ROUNDS`] rounds; each receiver to whom it is new does the same. The bytes per
-//! change and member do not grow with the members. Who is told by nobody, one in 400,
-//! and loss of all copies, are made good by the comparison of digests that rides on
-//! every probe.
+//! An update is sent in small datagrams to a few random members of the failure domain,
+//! in [`ROUNDS_PER_UPDATE`] rounds; each receiver to which it is new does the same. The
+//! bytes per update and member do not grow with the number of members. One member in 400
+//! is reached by no datagram, and all datagrams to a member may be lost; the digests that
+//! every probe carries reveal such differences, which are then repaired.
 //!
-//! Between failure domains a few members carry the news, the [`BRIDGES`] of each, and
-//! now and then any other ([`Candidates`]). Failure: every member tells members of all
-//! domains. Symptom: each change crosses between domains many times for each member.
-//! Should all bridges of a domain die at once, the others still tell, one in
-//! [`FAR_ONE_IN`] rounds each, until membership has named new ones.
+//! Between failure domains, updates are sent by a few members of each domain, its
+//! [`BRIDGES`], and occasionally by any other member ([`Candidates`]). Failure: every
+//! member sends to members of all domains. Symptom: each update crosses between domains
+//! many times for each member. If all bridges of a domain die at once, its other members
+//! still send, each in one of [`FAR_ONE_IN`] rounds, until membership has selected new
+//! bridges.
 
 use crate::ids::HostKey;
 use std::collections::BTreeMap;
 
-/// Members that one round of gossip is sent to.
+/// Members of the own failure domain that one round of gossip is sent to.
 pub const GOSSIP_FANOUT: usize = 3;
 
-/// Rounds in which a member tells news. With three others in each, a share of e to the
-/// power of -6 is told by nobody, however many there are.
-const ROUNDS: u32 = 2;
+/// Rounds in which a member sends an update. With three receivers in each round, a share
+/// of e to the power of -6 of the members is reached by no datagram, however many there
+/// are.
+const ROUNDS_PER_UPDATE: u32 = 2;
 
-/// Records in one datagram; at about 150 bytes each they stay under a usual MTU.
+/// Records in one datagram; at about 150 bytes each they fit a usual MTU.
 pub const RECORDS_PER_DATAGRAM: usize = 8;
 
-/// Datagrams that one member gets in a round while much is to be told. After a restart
-/// of everything 295 daemons have two changes each to tell within two seconds.
+/// Datagrams that one member is sent in a round while many updates are pending. After a
+/// restart of the whole mesh, 295 daemons have two changes each to spread within two
+/// seconds.
 pub const DATAGRAMS_PER_ROUND: usize = 3;
 
-/// Members of a failure domain that tell the other domains in each round.
+/// Members of a failure domain that send to the other domains in each round.
 pub const BRIDGES: usize = 2;
 
-/// A member that is no bridge tells one of another domain in one round of so many.
+/// A member that is not a bridge sends to a member of another domain in one of this many
+/// rounds, on average.
 pub const FAR_ONE_IN: u64 = 16;
 
-/// Who may be told in one round.
+/// Members that may be sent the updates of one round.
 #[derive(Clone, Debug, Default)]
 pub struct Candidates {
     /// The other members of the failure domain.
     pub near: Vec<HostKey>,
-    /// Those of each other domain, its bridges first.
+    /// The members of each other domain, its bridges first.
     pub far: Vec<Vec<HostKey>>,
     /// Whether this member is a bridge.
     pub is_bridge: bool,
 }
 
 impl Candidates {
-    /// Returns whom to tell in one round. `random` gives any number below its argument.
+    /// Returns the members to send to in one round. `random` returns any number below its
+    /// argument.
     pub fn sample(mut self, mut random: impl FnMut(usize) -> usize) -> Vec<HostKey> {
         let mut out = Vec::new();
         while out.len() < GOSSIP_FANOUT && !self.near.is_empty() {
-            let place = random(self.near.len());
-            out.push(self.near.swap_remove(place));
+            let index = random(self.near.len());
+            out.push(self.near.swap_remove(index));
         }
         if self.is_bridge {
             for domain in &self.far {
@@ -66,7 +71,7 @@
     }
 }
 
-/// News that still have to be told, by what they are about.
+/// Updates that remain to be sent, by their subject, with the rounds left for each.
 #[derive(Clone, Debug)]
 pub struct Queue<K, T> {
     pending: BTreeMap<K, (T, u32)>,
@@ -79,32 +84,32 @@
 }
 
 impl<K: Copy + Ord, T: Clone> Queue<K, T> {
-    /// Adds news, in place of older ones about the same.
-    pub fn push(&mut self, key: K, news: T) {
-        self.pending.insert(key, (news, ROUNDS));
+    /// Adds an update, which replaces an older one of the same key.
+    pub fn push(&mut self, key: K, update: T) {
+        self.pending.insert(key, (update, ROUNDS_PER_UPDATE));
     }
 
-    /// Returns whether nothing is left to tell.
+    /// Returns whether no updates remain to be sent.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Takes the news for one round, those told least often first, `most` of them.
-    pub fn take_round(&mut self, most: usize) -> Vec<T> {
+    /// Returns up to `max_updates` updates for one round, those sent least often first.
+    pub fn take_round(&mut self, max_updates: usize) -> Vec<T> {
         let mut keys: Vec<(u32, K)> =
             self.pending.iter().map(|(key, (_, left))| (*left, *key)).collect();
         keys.sort_unstable_by(|a, b| b.cmp(a));
-        keys.truncate(most);
+        keys.truncate(max_updates);
         keys.into_iter().filter_map(|(_, key)| self.take_one(key)).collect()
     }
 
     fn take_one(&mut self, key: K) -> Option<T> {
-        let (news, left) = self.pending.get_mut(&key)?;
-        let news = news.clone();
+        let (update, left) = self.pending.get_mut(&key)?;
+        let update = update.clone();
         *left -= 1;
         if *left == 0 {
             self.pending.remove(&key);
         }
-        Some(news)
+        Some(update)
     }
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,20 +1,20 @@
-//! Who is there, and which upstreams they serve.
+//! Membership of the mesh: the daemons and the upstreams on their hosts.
 //!
-//! Each daemon describes itself in one [`record::Record`], which also carries
+//! Each daemon describes itself in one [`record::Record`], which also lists
 //! the upstreams on its host. Records spread inside a failure domain by gossip
-//! ([`gossip`]), and between domains through one gateway each, a journal of
-//! changes at a time ([`table`]). [`detector`] probes a constant number of
-//! members per period, whatever their number.
+//! ([`gossip`]), and between domains through one gateway per domain, which
+//! transfers the changes in a journal ([`table`]). [`detector`] probes a constant
+//! number of members per period, however many there are.
 //!
-//! Membership is information, not authority: a wrong view costs latency or a
-//! refused call, never a wrong version (that is [`crate::delivery`]) and never a
-//! second execution (that is [`crate::request`]).
+//! No decision about correctness relies on membership: a wrong view costs latency
+//! or a refused call. It never activates a wrong version, which [`crate::delivery`]
+//! prevents, and never runs a call twice, which [`crate::request`] prevents.
 //!
 //! # Limits
 //!
-//! Records of a whole failure domain reach each of its members, whether or not
-//! its routes name the service: gossip that is scoped would need as many
-//! groups as there are services. `docs/CAPACITY.md` has the bytes this costs.
+//! Every record of a failure domain reaches each of its members, whether or not
+//! the member's routes name the service: gossip scoped by service would need as
+//! many groups as there are services. `docs/CAPACITY.md` lists the cost in bytes.
 
 pub mod detector;
 pub mod gossip;
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The newest record of every daemon, and a journal of changes.
+//! Membership table: the newest record of every daemon, and a journal of changes.
 
 use super::record::{Health, Record};
 use crate::delivery::tree::mix;
@@ -6,41 +6,43 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// How long a dead daemon's record is kept, so that late news of its life is
-/// recognized as old.
-pub const TOMBSTONE: Duration = Duration::from_secs(600);
+/// Time for which a dead daemon's record is kept, so that late records of its
+/// incarnation are recognized as old.
+pub const TOMBSTONE_TTL: Duration = Duration::from_secs(600);
 
 /// Position in a table's journal.
 pub type JournalPos = u64;
 
-/// What became of a record that arrived.
+/// Result of [`Table::apply`] for a received record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is newer and was taken in.
+    /// The record is newer and was stored.
     New,
-    /// It is known or older.
+    /// The record is already known or older.
     Old,
-    /// It speaks of this daemon and is wrong; answer with a higher sequence.
+    /// The record describes this daemon and is wrong; the own record now outranks it and is
+    /// to be spread.
     Refute,
 }
 
-/// What two members tell each other after a comparison of their tables.
+/// Records that two members exchange after a comparison of their tables.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Comparison {
-    /// Records that the other one lacks, or has in another state.
+    /// Own records that the other member lacks, or has in another state.
     pub records: Vec<Record>,
-    /// Hosts whose records are to be had from the other one.
+    /// Hosts whose records are to be requested from the other member.
     pub wanted: Vec<HostKey>,
 }
 
 #[derive(Clone, Debug)]
 struct Row {
     record: Record,
-    changed: JournalPos,
-    at: Instant,
+    /// Journal position of the last change.
+    changed_pos: JournalPos,
+    changed_at: Instant,
 }
 
-/// The newest record of every daemon known.
+/// The newest record of every known daemon.
 #[derive(Clone, Debug)]
 pub struct Table {
     me: HostKey,
@@ -49,10 +51,10 @@
 }
 
 impl Table {
-    /// Makes a table that holds only this daemon's own record.
+    /// Creates a table that holds only this daemon's own record.
     pub fn new(own: Record, now: Instant) -> Table {
         let me = own.host;
-        let row = Row { record: own, changed: 1, at: now };
+        let row = Row { record: own, changed_pos: 1, changed_at: now };
         Table { me, rows: HashMap::from([(me, row)]), journal: 1 }
     }
 
@@ -60,7 +62,7 @@
     ///
     /// # Panics
     ///
-    /// Does not: the own record is put in by [`Table::new`] and never removed.
+    /// Never panics: [`Table::new`] inserts the own record, and it is never removed.
     pub fn own(&self) -> &Record {
         &self.rows[&self.me].record
     }
@@ -70,19 +72,19 @@
         self.rows.get(&host).map(|row| &row.record)
     }
 
-    /// Returns how many hosts have a record.
+    /// Returns the number of hosts that have a record.
     #[allow(clippy::len_without_is_empty, reason = "the own record is always there")]
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Returns all records, in no order.
+    /// Returns all records, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.rows.values().map(|row| &row.record)
     }
 
-    /// Returns the live members of a failure domain, or of all, this daemon among
-    /// them.
+    /// Returns the live members of a failure domain, or of all domains, including this
+    /// daemon.
     pub fn live(&self, domain: Option<&str>) -> Vec<HostKey> {
         let mut hosts: Vec<_> = self
             .iter()
@@ -94,13 +96,13 @@
         hosts
     }
 
-    /// Returns the names of the failure domains known, sorted.
+    /// Returns the names of the known failure domains, sorted.
     pub fn domains(&self) -> Vec<String> {
         let names: std::collections::BTreeSet<_> = self.iter().map(|r| r.domain.clone()).collect();
         names.into_iter().collect()
     }
 
-    /// Changes this daemon's own record and raises its sequence.
+    /// Changes this daemon's own record, raises its sequence and returns it.
     pub fn update_own(&mut self, now: Instant, change: impl FnOnce(&mut Record)) -> Record {
         let mut record = self.own().clone();
         change(&mut record);
@@ -109,19 +111,20 @@
         record
     }
 
-    /// Takes in a record that arrived, if it is newer than the one held.
+    /// Stores a received record if it is newer than the present one.
     pub fn apply(&mut self, record: Record, now: Instant) -> Applied {
         if record.host == self.me {
             return self.apply_to_self(record, now);
         }
-        if self.get(record.host).is_some_and(|held| held.rank() >= record.rank()) {
+        if self.get(record.host).is_some_and(|present| present.rank() >= record.rank()) {
             return Applied::Old;
         }
         self.store(record, now);
         Applied::New
     }
 
-    /// Records a belief about another daemon's health at its present rank.
+    /// Worsens the health of another daemon's record, which keeps its incarnation and
+    /// sequence.
     ///
     /// Returns the record to spread, or `None` if nothing changed.
     pub fn set_health(&mut self, host: HostKey, health: Health, now: Instant) -> Option<Record> {
@@ -136,31 +139,31 @@
 
     /// Returns the records that changed after a position, and the new position.
     pub fn since(&self, pos: JournalPos) -> (Vec<Record>, JournalPos) {
-        let mut rows: Vec<_> = self.rows.values().filter(|row| row.changed > pos).collect();
-        rows.sort_by_key(|row| row.changed);
+        let mut rows: Vec<_> = self.rows.values().filter(|row| row.changed_pos > pos).collect();
+        rows.sort_by_key(|row| row.changed_pos);
         (rows.into_iter().map(|row| row.record.clone()).collect(), self.journal)
     }
 
-    /// Summarizes the ranks of all records but those of the dead in a number.
+    /// Returns a digest of the ranks of all records except those of dead daemons.
     ///
-    /// Equal tables have equal digests; a difference that lasts makes two
-    /// members compare their tables whole. The dead are left out, since they are
-    /// forgotten at a different moment everywhere.
+    /// Equal tables have equal digests; if a difference lasts, two members compare their
+    /// whole tables. Dead daemons are left out, since each member drops their records at a
+    /// different time.
     pub fn digest(&self) -> u64 {
         self.iter()
             .filter(|record| record.health != Health::Dead)
             .fold(0, |acc, record| acc ^ fingerprint(record))
     }
 
-    /// Returns each host with a number that tells the state of its record.
+    /// Returns each host with the fingerprint of its record.
     pub fn outline(&self) -> Vec<(HostKey, u64)> {
         self.iter().map(|record| (record.host, fingerprint(record))).collect()
     }
 
     /// Compares with the outline of another member's table.
     ///
-    /// Which of two states is the newer one cannot be told from a fingerprint, so that
-    /// a record in two states goes both ways.
+    /// A fingerprint does not show which of two states of a record is newer, so a record
+    /// in different states is exchanged both ways.
     pub fn compare(&self, theirs: &[(HostKey, u64)]) -> Comparison {
         let theirs: HashMap<HostKey, u64> = theirs.iter().copied().collect();
         let differs = |record: &&Record| theirs.get(&record.host) != Some(&fingerprint(record));
@@ -172,21 +175,23 @@
         Comparison { records, wanted: wanted.map(|(host, _)| *host).collect() }
     }
 
-    /// Returns the records of some hosts, as far as they are known.
+    /// Returns the records of the given hosts, as far as they are known.
     pub fn records_of(&self, hosts: &[HostKey]) -> Vec<Record> {
         hosts.iter().filter_map(|host| self.get(*host)).cloned().collect()
     }
 
-    /// Drops the records of daemons that have been dead for [`TOMBSTONE`].
+    /// Drops the records of daemons that have been dead for [`TOMBSTONE_TTL`].
     pub fn sweep(&mut self, now: Instant) {
-        self.rows.retain(|_, row| row.record.health != Health::Dead || now < row.at + TOMBSTONE);
+        self.rows.retain(|_, row| {
+            row.record.health != Health::Dead || now < row.changed_at + TOMBSTONE_TTL
+        });
     }
 
-    /// Answers a record about this daemon that does not come from its owner.
+    /// Refutes a record of this daemon that outranks its own record.
     ///
-    /// A higher life than the own one means that the clock went back between
-    /// two starts; the own life is moved past it, since records of a lower one
-    /// would never be taken in by anybody.
+    /// A higher incarnation than the own one means that the clock went back between two
+    /// starts. The own incarnation is raised above it, since no member would store records
+    /// of a lower incarnation.
     fn apply_to_self(&mut self, record: Record, now: Instant) -> Applied {
         let own = self.own();
         if record.rank() <= own.rank() {
@@ -205,17 +210,18 @@
 
     fn store(&mut self, record: Record, now: Instant) {
         self.journal += 1;
-        let row = Row { record, changed: self.journal, at: now };
+        let row = Row { record, changed_pos: self.journal, changed_at: now };
         self.rows.insert(row.record.host, row);
     }
 }
 
+/// Returns a hash of the host, the incarnation, the sequence and the health of a record.
 fn fingerprint(record: &Record) -> u64 {
     let health = record.health as u64;
     mix(record.host.0 ^ mix(record.life ^ mix(record.seq << 2 | health)))
 }
 
-/// Groups records by the service of their endpoints.
+/// Groups the records of live daemons by the services of their endpoints.
 pub fn by_service<'a>(
     records: impl Iterator<Item = &'a Record>,
 ) -> BTreeMap<&'a str, Vec<&'a Record>> {
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Limits that all daemons keep together, on a virtual clock: daemons, their keepers and
-//! the way between them, under the demand that each test names.
+//! Limits of the whole mesh, on a virtual clock: simulated daemons, their keepers and the
+//! delay of their messages, under the demand that each test describes.
 
 use cicadashift_core::limit::keeper::{Account, QuotaPart};
 use cicadashift_core::limit::share::Limiter;
@@ -8,23 +8,23 @@
 use std::time::{Duration, Instant};
 
 const STEP: Duration = Duration::from_millis(10);
-/// Way of a report or a grant.
-const WAY: Duration = Duration::from_millis(10);
-/// Time in which a notice has reached all daemons.
-const NOTICE_WAY: Duration = Duration::from_millis(150);
+/// Delay of a usage report or a grant.
+const DELAY: Duration = Duration::from_millis(10);
+/// Time in which a notice reaches all daemons.
+const NOTICE_DELAY: Duration = Duration::from_millis(150);
 const WINDOW: Duration = Duration::from_secs(5);
 const KEY: LimitKey = LimitKey(1);
 
-/// The rule that the platform's users set: calls in any window.
+/// Returns how many calls may be admitted in any window, as users of the platform require.
 fn allowed(quota: Quota) -> f64 {
     let calls = quota.rate_per_s as f64 * WINDOW.as_secs_f64() + quota.burst as f64;
     calls * 1.1 + 20.0
 }
 
 struct Daemon {
-    share: Limiter,
+    limiter: Limiter,
     next_report: Instant,
-    /// Which keeper it reports to, if it reaches one.
+    /// Index of the keeper that it reports to, if it reaches one.
     keeper: Option<usize>,
 }
 
@@ -32,9 +32,9 @@
     account: Account,
     live: usize,
     lost: usize,
-    /// When it last told all daemons that the limit is held back.
-    told: Option<Instant>,
-    was_held: bool,
+    /// When it last sent a notice to all daemons.
+    last_notice: Option<Instant>,
+    was_throttled: bool,
 }
 
 struct Mesh {
@@ -42,20 +42,25 @@
     quota: Quota,
     daemons: Vec<Daemon>,
     keepers: Vec<Keeper>,
+    /// Notices in transit: time of arrival, keeper and grant.
     notices: VecDeque<(Instant, usize, Grant)>,
-    next_look: Instant,
+    next_notice_check: Instant,
+    /// Usage reports in transit: time of arrival, daemon, keeper and usage.
     reports: VecDeque<(Instant, usize, usize, Usage)>,
+    /// Grants in transit: time of arrival, daemon and grant.
     grants: VecDeque<(Instant, usize, Grant)>,
+    /// Times of the calls admitted within the last [`WINDOW`].
     admitted: VecDeque<Instant>,
     offered: u64,
     refused: u64,
-    most: usize,
+    /// Most calls admitted in any window.
+    max_in_window: usize,
     rng: fastrand::Rng,
 }
 
 impl Keeper {
     fn new(live: usize, lost: usize, now: Instant) -> Keeper {
-        Keeper { account: Account::new(now), live, lost, told: None, was_held: false }
+        Keeper { account: Account::new(now), live, lost, last_notice: None, was_throttled: false }
     }
 }
 
@@ -64,7 +69,7 @@
         let now = Instant::now();
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut daemon = || Daemon {
-            share: Limiter::new(now),
+            limiter: Limiter::new(now),
             next_report: now + REPORT_EVERY.mul_f64(rng.f64()),
             keeper: Some(0),
         };
@@ -75,18 +80,18 @@
             daemons: all,
             keepers: vec![Keeper::new(daemons, 0, now)],
             notices: VecDeque::new(),
-            next_look: now,
+            next_notice_check: now,
             reports: VecDeque::new(),
             grants: VecDeque::new(),
             admitted: VecDeque::new(),
             offered: 0,
             refused: 0,
-            most: 0,
+            max_in_window: 0,
             rng,
         }
     }
 
-    /// Lets `rate` calls a second come to the daemons of a range for a time.
+    /// Offers `rate` calls a second to the daemons of a range for a time.
     fn run(&mut self, time: Duration, rate: f64, at: std::ops::Range<usize>) {
         let until = self.now + time;
         while self.now < until {
@@ -99,8 +104,8 @@
             }
             self.deliver();
             self.report();
-            if self.now >= self.next_look {
-                self.next_look = self.now + REPORT_EVERY;
+            if self.now >= self.next_notice_check {
+                self.next_notice_check = self.now + REPORT_EVERY;
                 self.notice();
             }
         }
@@ -108,7 +113,7 @@
 
     fn call(&mut self, i: usize) {
         self.offered += 1;
-        if !self.daemons[i].share.admit(false, self.now, self.rng.u64(..)) {
+        if !self.daemons[i].limiter.admit(false, self.now, self.rng.u64(..)) {
             self.refused += 1;
             return;
         }
@@ -116,7 +121,7 @@
         while self.admitted.front().is_some_and(|at| *at + WINDOW <= self.now) {
             self.admitted.pop_front();
         }
-        self.most = self.most.max(self.admitted.len());
+        self.max_in_window = self.max_in_window.max(self.admitted.len());
     }
 
     fn report(&mut self) {
@@ -125,9 +130,9 @@
                 continue;
             }
             daemon.next_report = self.now + REPORT_EVERY;
-            let Some(usage) = daemon.share.take_usage(KEY) else { continue };
+            let Some(usage) = daemon.limiter.take_usage(KEY) else { continue };
             let Some(keeper) = daemon.keeper else { continue };
-            self.reports.push_back((self.now + WAY, i, keeper, usage));
+            self.reports.push_back((self.now + DELAY, i, keeper, usage));
         }
     }
 
@@ -135,50 +140,59 @@
         for (k, keeper) in self.keepers.iter_mut().enumerate() {
             let part = QuotaPart::of(self.quota, keeper.live, keeper.lost);
             let grant = keeper.account.reduced_grant(KEY, part, self.now);
-            let is_due = keeper.told.is_none_or(|told| self.now >= told + NOTICE_EVERY);
+            let is_due = keeper.last_notice.is_none_or(|last| self.now >= last + NOTICE_EVERY);
             let is_new =
-                std::mem::replace(&mut keeper.was_held, grant.is_some()) != grant.is_some();
+                std::mem::replace(&mut keeper.was_throttled, grant.is_some()) != grant.is_some();
             let released = is_new.then_some(Grant { key: KEY, share: Grant::ALL });
             if let Some(grant) = grant.or(released).filter(|_| is_due || is_new) {
-                keeper.told = Some(self.now);
-                self.notices.push_back((self.now + NOTICE_WAY, k, grant));
+                keeper.last_notice = Some(self.now);
+                self.notices.push_back((self.now + NOTICE_DELAY, k, grant));
             }
         }
     }
 
     fn deliver(&mut self) {
         while self.notices.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let (_, keeper, grant) = self.notices.pop_front().expect("it is there");
+            let (_, keeper, grant) = self.notices.pop_front().expect("the front was checked");
             let reached = self.daemons.iter_mut().filter(|daemon| daemon.keeper == Some(keeper));
-            reached.for_each(|daemon| daemon.share.apply_grant(grant, self.now));
+            reached.for_each(|daemon| daemon.limiter.apply_grant(grant, self.now));
         }
         while self.reports.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let (_, i, keeper, usage) = self.reports.pop_front().expect("it is there");
+            let (_, i, keeper, usage) = self.reports.pop_front().expect("the front was checked");
             let keeper = &mut self.keepers[keeper];
             let part = QuotaPart::of(self.quota, keeper.live, keeper.lost);
             keeper.account.add_usage(&usage, part, self.now);
-            self.grants.push_back((self.now + WAY, i, keeper.account.grant(KEY, part)));
+            self.grants.push_back((self.now + DELAY, i, keeper.account.grant(KEY, part)));
         }
         while self.grants.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let (_, i, grant) = self.grants.pop_front().expect("it is there");
-            self.daemons[i].share.apply_grant(grant, self.now);
+            let (_, i, grant) = self.grants.pop_front().expect("the front was checked");
+            self.daemons[i].limiter.apply_grant(grant, self.now);
         }
     }
 
-    /// Checks that few calls were refused: a share of those offered, and two.
-    fn assert_refused(&self, most: f64) {
-        let most = self.offered as f64 * most + 2.0;
+    /// Checks that at most a share of the offered calls, plus two, were refused.
+    fn assert_refused(&self, max_share: f64) {
+        let max_refused = self.offered as f64 * max_share + 2.0;
         let n = self.daemons.len();
-        assert!(self.refused as f64 <= most, "{} of {}, {n} daemons", self.refused, self.offered);
+        assert!(
+            self.refused as f64 <= max_refused,
+            "{} of {}, {n} daemons",
+            self.refused,
+            self.offered
+        );
     }
 
-    fn forget_counts(&mut self) {
+    fn reset_counts(&mut self) {
         (self.offered, self.refused) = (0, 0);
     }
 
-    fn assert_kept(&self, what: &str) {
+    fn assert_limit_kept(&self, what: &str) {
         let allowed = allowed(self.quota);
-        assert!(self.most as f64 <= allowed, "{what}: {} of {allowed} in a window", self.most);
+        assert!(
+            self.max_in_window as f64 <= allowed,
+            "{what}: {} of {allowed} in a window",
+            self.max_in_window
+        );
     }
 }
 
@@ -196,7 +210,7 @@
             for seed in 0..SEEDS {
                 let mut mesh = Mesh::new(daemons, quota(rate), seed);
                 scenario(&mut mesh, rate as f64);
-                mesh.assert_kept(&format!("{daemons} daemons, {rate}/s, seed {seed}"));
+                mesh.assert_limit_kept(&format!("{daemons} daemons, {rate}/s, seed {seed}"));
             }
         }
     }
@@ -204,8 +218,9 @@
 
 #[test]
 fn nothing_is_refused_below_the_limit() {
-    // Guards against shares that are less than a call each: an organisation that asks two
-    // thirds of its limit at thousands of daemons is served.
+    // Guards against a limit that is divided among the daemons, so that each gets less than
+    // one call: an organisation that uses two thirds of its limit, spread over thousands of
+    // daemons, is served.
     over_all(|mesh, rate| {
         let all = 0..mesh.daemons.len();
         mesh.run(Duration::from_secs(10), rate * 0.62, all);
@@ -214,18 +229,18 @@
 }
 
 #[test]
-fn an_organisation_that_asks_many_times_its_limit_gets_the_limit() {
-    // Guards against a limit that each daemon keeps by itself, and against one that is
-    // not used up where demand is.
+fn an_organisation_far_over_its_limit_gets_the_limit() {
+    // Guards against a limit that each daemon enforces for itself, so that the sum exceeds
+    // it, and against a limit that cannot be used up where the demand is.
     over_all(|mesh, rate| {
         let all = 0..mesh.daemons.len();
         mesh.run(Duration::from_secs(5), rate * 0.62, all.clone());
-        mesh.forget_counts();
+        mesh.reset_counts();
         mesh.run(Duration::from_secs(10), rate * 4.7, all.clone());
         let served = (mesh.offered - mesh.refused) as f64;
         assert!(served >= rate * 10.0 * 0.9 - 20.0, "{served} of {}", rate * 10.0);
         mesh.run(Duration::from_secs(3), rate * 0.3, all.clone());
-        mesh.forget_counts();
+        mesh.reset_counts();
         mesh.run(Duration::from_secs(5), rate * 0.62, all);
         mesh.assert_refused(0.03);
     });
@@ -233,7 +248,7 @@
 
 #[test]
 fn demand_that_moves_between_daemons_is_served() {
-    // Guards against shares that stay where demand was.
+    // Guards against shares of the limit that stay with the daemons that had demand before.
     over_all(|mesh, rate| {
         let half = mesh.daemons.len() / 2;
         let all = mesh.daemons.len();
@@ -245,8 +260,8 @@
 
 #[test]
 fn a_split_mesh_keeps_the_limit() {
-    // Guards against a limit that each part of a split mesh keeps whole. A third of the
-    // daemons loses its keeper and then gets one of its own; the organisation asks many
+    // Guards against a split mesh in which each partition grants the whole limit. A third of
+    // the daemons loses its keeper and then gets its own keeper; the organisation offers many
     // times its limit before, during and after.
     over_all(|mesh, rate| {
         let (third, all) = (mesh.daemons.len() / 3, mesh.daemons.len());
@@ -264,12 +279,12 @@
 }
 
 #[test]
-fn who_loses_its_keeper_goes_on_as_before() {
+fn a_daemon_without_a_keeper_continues_as_before() {
     // Guards against refusals below the limit while keepers change.
     over_all(|mesh, rate| {
         let all = 0..mesh.daemons.len();
         mesh.run(Duration::from_secs(8), rate * 0.62, all.clone());
-        mesh.forget_counts();
+        mesh.reset_counts();
         mesh.daemons.iter_mut().for_each(|daemon| daemon.keeper = None);
         mesh.run(Duration::from_secs(4), rate * 0.62, all);
         mesh.assert_refused(0.05);
@@ -278,7 +293,7 @@
 
 #[test]
 fn a_keeper_that_starts_again_keeps_the_limit() {
-    // Guards against a burst that is given out once more with each start of a keeper.
+    // Guards against a keeper that grants the burst again each time it starts.
     over_all(|mesh, rate| {
         let all = 0..mesh.daemons.len();
         mesh.run(Duration::from_secs(7), rate * 4.7, all.clone());
@@ -289,26 +304,27 @@
 
 #[test]
 fn a_call_that_did_not_run_is_not_counted() {
-    // Guards against calls that are refused later and still use the limit up.
+    // Guards against calls that are admitted, then refused for another reason, and still use
+    // up the limit.
     let now = Instant::now();
-    let mut share = Limiter::new(now);
+    let mut limiter = Limiter::new(now);
     for n in 0..10 {
-        assert!(share.admit(false, now, n));
+        assert!(limiter.admit(false, now, n));
     }
-    (0..4).for_each(|_| share.give_back());
-    assert_eq!(share.take_usage(KEY), Some(Usage { key: KEY, offered: 10, admitted: 6 }));
-    assert_eq!(share.take_usage(KEY), None);
+    (0..4).for_each(|_| limiter.give_back());
+    assert_eq!(limiter.take_usage(KEY), Some(Usage { key: KEY, offered: 10, admitted: 6 }));
+    assert_eq!(limiter.take_usage(KEY), None);
 }
 
 #[test]
-fn a_late_call_gives_way_while_a_limit_is_held_back() {
-    // Guards against an organisation over its limit whose calls are answered late, since
-    // those that come back take the places of those that could be in time.
+fn a_late_call_is_refused_while_a_limit_is_throttled() {
+    // Guards against an organisation over its limit whose calls are all answered late, since
+    // retried calls take the places of calls that could be answered in time.
     let now = Instant::now();
-    let mut share = Limiter::new(now);
-    assert!(share.admit(true, now, 0), "nothing is held back");
-    share.apply_grant(Grant { key: KEY, share: Grant::ALL / 2 }, now);
-    assert!(!share.admit(true, now, 0));
-    assert!(share.admit(false, now, 0));
-    assert_eq!(share.take_usage(KEY), Some(Usage { key: KEY, offered: 2, admitted: 2 }));
+    let mut limiter = Limiter::new(now);
+    assert!(limiter.admit(true, now, 0), "the limit is not throttled");
+    limiter.apply_grant(Grant { key: KEY, share: Grant::ALL / 2 }, now);
+    assert!(!limiter.admit(true, now, 0));
+    assert!(limiter.admit(false, now, 0));
+    assert_eq!(limiter.take_usage(KEY), Some(Usage { key: KEY, offered: 2, admitted: 2 }));
 }
--- a/crates/core/tests/scenarios/main.rs
+++ b/crates/core/tests/scenarios/main.rs
@@ -1,7 +1,7 @@
-//! Scripted scenarios on a virtual clock, against the decisions themselves.
+//! Scripted scenarios on a virtual clock, run directly against the core.
 //!
 //! Scripts are in `testdata/` at the root; `testdata/README.md` explains their
-//! few commands. After a change that is meant, `REWRITE=1 cargo test -p
+//! commands. After an intended change of behaviour, `REWRITE=1 cargo test -p
 //! cicadashift-core --test scenarios` writes the new results into them.
 
 mod delivery;
@@ -10,7 +10,7 @@
 
 use datadriven::TestCase;
 
-/// Returns the only value of an argument, or a default.
+/// Returns the first value of an argument, or a default.
 fn arg<'a>(case: &'a TestCase, name: &str, default: &'a str) -> &'a str {
     case.args.get(name).and_then(|values| values.first()).map_or(default, |value| value.as_str())
 }
@@ -25,6 +25,7 @@
     case.args.get(name).cloned().unwrap_or_default()
 }
 
+/// Runs all scripts of a folder of `testdata/`, each with a new world.
 fn run<W: Default>(folder: &str, step: fn(&mut W, &TestCase) -> String) {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../../testdata/");
     datadriven::walk(&format!("{root}{folder}"), |file| {
--- a/crates/core/tests/scenarios/membership.rs
+++ b/crates/core/tests/scenarios/membership.rs
@@ -1,4 +1,4 @@
-//! One member's table and probes, on a virtual clock.
+//! Scenarios of one member's table and failure detector, on a virtual clock.
 
 use super::{arg, list, number};
 use cicadashift_core::ids::HostKey;
@@ -30,7 +30,7 @@
 
 pub fn step(world: &mut World, case: &TestCase) -> String {
     match case.directive.as_str() {
-        "hear" => world.hear(case),
+        "hear" => world.receive(case),
         "silent" => {
             world.silent = list(case, "host");
             String::new()
@@ -50,7 +50,7 @@
         self.base + Duration::from_millis(self.now_ms)
     }
 
-    fn hear(&mut self, case: &TestCase) -> String {
+    fn receive(&mut self, case: &TestCase) -> String {
         let health = match arg(case, "health", "alive") {
             "suspect" => Health::Suspect,
             "leaving" => Health::Leaving,
@@ -60,8 +60,8 @@
         let mut out = String::new();
         for host in list(case, "host") {
             let (life, seq) = (number(case, "life", 1), number(case, "seq", 0));
-            let heard = record(&host, life, seq, health, &list(case, "serves"));
-            out.push_str(&format!("{host}: {:?}\n", self.table.apply(heard, self.now())));
+            let received = record(&host, life, seq, health, &list(case, "serves"));
+            out.push_str(&format!("{host}: {:?}\n", self.table.apply(received, self.now())));
         }
         out
     }
@@ -73,16 +73,16 @@
             self.now_ms += STEP_MS;
             let mut others = self.table.live(Some("d"));
             others.retain(|host| *host != HostKey::of(ME));
-            for probe in self.detector.tick(self.now(), &others, 7) {
-                let line = self.act(probe);
+            for action in self.detector.tick(self.now(), &others, 7) {
+                let line = self.act(action);
                 out.push_str(&line);
             }
         }
         out
     }
 
-    fn act(&mut self, probe: Action) -> String {
-        match probe {
+    fn act(&mut self, action: Action) -> String {
+        match action {
             Action::DirectProbe(host) => {
                 if !self.silent.contains(&self.name(host)) {
                     self.detector.answered(host);
