--- a/crates/core/src/request/choose/cost.rs
+++ b/crates/core/src/request/choose/cost.rs
@@ -2,7 +2,7 @@
 
 use super::picker::Picker;
 use super::upstream::EJECT_FOR;
-use super::{Choice, DISTANCE, Demand, Place, Reason, UpstreamKey};
+use super::{CROSS_DOMAIN_RTT, Choice, Demand, Locality, Reason, UpstreamKey};
 use crate::request::gate::KindKey;
 use std::time::{Duration, Instant};
 
@@ -71,7 +71,7 @@
         }
         let full = a.load(now, self.policy) >= a.slots(now, self.policy);
         let free = b.load(now, self.policy) + 1.0 <= b.slots(now, self.policy);
-        let there = self.cost(far, demand, now) + DISTANCE.as_secs_f64() * 1e3;
+        let there = self.cost(far, demand, now) + CROSS_DOMAIN_RTT.as_secs_f64() * 1e3;
         free && there < here * if full { 1.0 } else { MUCH_CHEAPER }
     }
 
@@ -83,7 +83,7 @@
         demand: Demand,
         now: Instant,
     ) -> Option<UpstreamKey> {
-        let is_here = |key: &&UpstreamKey| self.at(**key).known.place == Place::Here;
+        let is_here = |key: &&UpstreamKey| self.at(**key).info.locality == Locality::SameHost;
         let here = open.iter().find(is_here).copied().filter(|_| self.policy.compare);
         let both = best.into_iter().chain(here);
         let costs = both.map(|key| (self.cost(key, demand, now), key));
@@ -101,7 +101,7 @@
     }
 
     pub(super) fn is_far(&self, key: UpstreamKey) -> bool {
-        self.at(key).known.place == Place::Far
+        self.at(key).info.locality == Locality::OtherDomain
     }
 
     fn is_known(&self, kind: KindKey) -> bool {
@@ -119,15 +119,15 @@
         let errors = (upstream.errors(now) - self.errors).max(0.0);
         // A call in a free slot still costs its neighbours something; the small
         // term makes the emptier of two idle upstreams win.
-        let way = match upstream.known.place {
+        let way = match upstream.info.locality {
             // Whatever is answered here leaves by this host's link in any case.
-            Place::Here => 0.0,
-            Place::Near | Place::Far if self.is_large(demand.kind) => {
+            Locality::SameHost => 0.0,
+            Locality::SameDomain | Locality::OtherDomain if self.is_large(demand.kind) => {
                 HOP_MS + upstream.link_ms(now)
             }
-            Place::Near | Place::Far => HOP_MS,
+            Locality::SameDomain | Locality::OtherDomain => HOP_MS,
         };
-        let refuses = if self.policy.refusals { 1.0 - upstream.accepts(now) } else { 0.0 };
+        let refuses = if self.policy.refusals { 1.0 - upstream.accept_ratio(now) } else { 0.0 };
         let once = time * (1.0 + wait + 0.2 * load / slots) + way;
         once * (1.0 + ERROR_COST * errors + REFUSAL_COST * refuses)
     }
--- a/crates/core/src/request/choose/mod.rs
+++ b/crates/core/src/request/choose/mod.rs
@@ -37,7 +37,7 @@
 use std::time::Duration;
 
 /// One way to another failure domain and back.
-pub const DISTANCE: Duration = Duration::from_millis(3);
+pub const CROSS_DOMAIN_RTT: Duration = Duration::from_millis(3);
 
 /// Position of an upstream in its [`Picker`]'s arena; used again only after the
 /// upstream has left and its last call has ended.
@@ -46,30 +46,30 @@
 
 /// Where an upstream is, as seen from an entry daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Locality {
     /// On the same host: no hop, and its answers leave by the same link as any.
-    Here,
+    SameHost,
     /// On another host of the failure domain.
-    Near,
+    SameDomain,
     /// In another failure domain.
-    Far,
+    OtherDomain,
 }
 
 /// What membership says of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct UpstreamInfo {
     /// The host whose daemon admits to it.
     pub host: HostKey,
     /// The instance's name.
     pub instance: String,
     /// Where it is, as seen from the entry daemon.
-    pub place: Place,
+    pub locality: Locality,
     /// Calls it runs at once.
     pub slots: u16,
     /// Whether it takes work.
     pub readiness: Readiness,
     /// Whether its host is suspected; it is then tried only as a last resort.
-    pub doubted: bool,
+    pub host_suspected: bool,
 }
 
 /// Why an upstream was chosen; goes into the log.
@@ -98,11 +98,11 @@
 
 /// What the daemon beside an upstream tells of it, in each answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct LoadReport {
     /// Calls at the upstream and waiting for it.
     pub load: Option<u16>,
     /// Share of the calls sent to it that it takes.
-    pub accepts: Option<f64>,
+    pub accept_ratio: Option<f64>,
     /// After what time to ask it again, where it names a limit.
     pub next_token: Option<Duration>,
 }
@@ -112,13 +112,13 @@
 pub enum Outcome {
     /// A whole answer: the time that the upstream took for it, the time that it
     /// took from here, and what was told beside it.
-    Answered { service: Duration, total: Duration, told: Told },
+    Answered { service: Duration, total: Duration, report: LoadReport },
     /// A whole answer that says that the upstream failed.
-    Erred,
+    ErrorAnswer,
     /// Refused as not run.
-    Refused { retry_after: Duration, told: Told },
+    Refused { retry_after: Duration, report: LoadReport },
     /// Not taken since it would have had to wait; there may be room elsewhere.
-    Full { told: Told },
+    Full { report: LoadReport },
     /// Refused as not run, since its large answer could not leave the host in
     /// time; the upstream itself may have room.
     LinkBusy,
--- a/crates/core/src/request/choose/observe.rs
+++ b/crates/core/src/request/choose/observe.rs
@@ -24,7 +24,7 @@
 impl Picker {
     /// Takes in that a host gives no sign of life, or does again.
     pub fn set_silent(&mut self, host: HostKey, silent: bool) {
-        for upstream in self.arena.iter_mut().filter(|upstream| upstream.known.host == host) {
+        for upstream in self.arena.iter_mut().filter(|upstream| upstream.info.host == host) {
             upstream.silent = silent;
         }
     }
@@ -35,7 +35,13 @@
     /// second attempt elsewhere, after which the first is cancelled. Symptom:
     /// nothing bad was ever observed of it, and every call is late. What has
     /// passed already counts as the least that the attempt takes.
-    pub fn late(&mut self, key: UpstreamKey, demand: Demand, passed: Duration, now: Instant) {
+    pub fn record_late(
+        &mut self,
+        key: UpstreamKey,
+        demand: Demand,
+        passed: Duration,
+        now: Instant,
+    ) {
         let Some(spread) = self.kinds.get(&demand.kind) else { return };
         let relative = passed.as_secs_f64() * 1e3 / spread.total.max(0.1);
         let upstream = self.at_mut(key);
@@ -45,7 +51,7 @@
 
     /// Takes in how long one more large answer would take to leave the host of an
     /// upstream.
-    pub fn link(&mut self, key: UpstreamKey, wait: Duration, now: Instant) {
+    pub fn record_link_wait(&mut self, key: UpstreamKey, wait: Duration, now: Instant) {
         self.at_mut(key).link = Some((wait, now));
     }
 
@@ -80,18 +86,18 @@
         let upstream = self.at_mut(key);
         upstream.outstanding = upstream.outstanding.saturating_sub(1);
         match outcome {
-            Outcome::Answered { told, .. } => {
-                upstream.answered(relative.unwrap_or(1.0), told.load, now);
-                upstream.told(told, now);
+            Outcome::Answered { report, .. } => {
+                upstream.answered(relative.unwrap_or(1.0), report.load, now);
+                upstream.apply_report(report, now);
             }
-            Outcome::Full { told } => {
+            Outcome::Full { report } => {
                 upstream.failures = 0;
-                upstream.told(told, now);
+                upstream.apply_report(report, now);
             }
-            Outcome::Erred => upstream.erred(now),
-            Outcome::Refused { retry_after, told } => {
+            Outcome::ErrorAnswer => upstream.erred(now),
+            Outcome::Refused { retry_after, report } => {
                 upstream.failures = 0;
-                upstream.told(told, now);
+                upstream.apply_report(report, now);
                 if policy.back_off {
                     upstream.back_off = Some(BackOff {
                         priority: demand.priority,
@@ -135,7 +141,7 @@
     fn observe_error(&mut self, outcome: Outcome) {
         let error = match outcome {
             Outcome::Answered { .. } => 0.0,
-            Outcome::Erred | Outcome::Failed => 1.0,
+            Outcome::ErrorAnswer | Outcome::Failed => 1.0,
             Outcome::Refused { .. }
             | Outcome::Full { .. }
             | Outcome::LinkBusy
@@ -150,7 +156,7 @@
         let had_none = match outcome {
             Outcome::Full { .. } | Outcome::Refused { .. } => 1.0,
             Outcome::Answered { .. } => 0.0,
-            Outcome::Erred
+            Outcome::ErrorAnswer
             | Outcome::LinkBusy
             | Outcome::HeldBack
             | Outcome::Unreached
--- a/crates/core/src/request/choose/picker.rs
+++ b/crates/core/src/request/choose/picker.rs
@@ -3,7 +3,7 @@
 use super::kinds::Spread;
 use super::policy::Policy;
 use super::upstream::Upstream;
-use super::{Choice, Demand, Known, Reason, UpstreamKey};
+use super::{Choice, Demand, Reason, UpstreamInfo, UpstreamKey};
 use crate::delivery::tree;
 use crate::ids::HostKey;
 use crate::request::gate::KindKey;
@@ -55,14 +55,14 @@
     ///
     /// What was observed of those that stay is kept. Those that left get nothing
     /// new; their outstanding calls end as they may.
-    pub fn sync(&mut self, known: impl IntoIterator<Item = Known>, now: Instant) {
+    pub fn sync(&mut self, known: impl IntoIterator<Item = UpstreamInfo>, now: Instant) {
         self.arena.iter_mut().for_each(|upstream| upstream.present = false);
         let mut new = Vec::new();
         for item in known {
             match self.index.get(&(item.host, item.instance.clone())) {
                 Some(key) => {
                     let upstream = &mut self.arena[key.0 as usize];
-                    upstream.known = item;
+                    upstream.info = item;
                     upstream.present = true;
                 }
                 None => new.push(item),
@@ -74,7 +74,7 @@
 
     /// Puts a new upstream in the place of one that left and has no calls any
     /// more, so that the arena does not grow as instances come and go.
-    fn add(&mut self, item: Known, now: Instant) {
+    fn add(&mut self, item: UpstreamInfo, now: Instant) {
         let id = (item.host, item.instance.clone());
         let free = self.arena.iter().position(|old| !old.present && old.outstanding == 0);
         let slot = free.unwrap_or(self.arena.len());
@@ -90,8 +90,8 @@
     }
 
     /// Returns what is known of an upstream.
-    pub fn known(&self, key: UpstreamKey) -> &Known {
-        &self.arena[key.0 as usize].known
+    pub fn info(&self, key: UpstreamKey) -> &UpstreamInfo {
+        &self.arena[key.0 as usize].info
     }
 
     /// Returns how many upstreams take work.
@@ -153,7 +153,7 @@
     /// earlier than a few deviations above the mean, since then most answers are
     /// only slow; not later than a few times the mean, since then they are lost
     /// however long the objective is.
-    pub fn late_after(&self, demand: Demand) -> Option<Duration> {
+    pub fn hedge_after(&self, demand: Demand) -> Option<Duration> {
         let spread = self.kinds.get(&demand.kind)?;
         let objective = demand.objective.as_secs_f64() * 1e3;
         let least = spread.total + EARLY_DEVIATIONS * spread.deviation;
@@ -173,7 +173,7 @@
     /// Failure: all slots of a service are full for seconds, and what is known of them is
     /// some calls old. Symptom: second attempts go to slots that seem free, and calls that
     /// had none yet wait longer.
-    pub fn may_double(&self, key: UpstreamKey, now: Instant) -> bool {
+    pub fn may_hedge(&self, key: UpstreamKey, now: Instant) -> bool {
         let has_token = self.at(key).wait_for_token(now).is_none();
         has_token && self.has_room(key, now) && self.shortage < SHORT_SHARE
     }
--- a/crates/core/src/request/choose/upstream.rs
+++ b/crates/core/src/request/choose/upstream.rs
@@ -1,6 +1,6 @@
 //! One upstream as an entry daemon sees it.
 
-use super::{Known, Policy, Told};
+use super::{LoadReport, Policy, UpstreamInfo};
 use crate::config::Priority;
 use crate::membership::record::Readiness;
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
 /// What is known and observed of one upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    pub known: Known,
+    pub info: UpstreamInfo,
     pub present: bool,
     pub outstanding: u32,
     /// Time of a call here in means of its kind.
@@ -48,7 +48,7 @@
     pub aside_until: Option<Instant>,
     pub back_off: Option<BackOff>,
     /// Share of the calls sent to it that it takes, as its host tells, and when.
-    pub accepts: Option<(f64, Instant)>,
+    pub accept_ratio: Option<(f64, Instant)>,
     /// When to ask it again, where it names a limit.
     pub next_token: Option<Instant>,
     /// Its place among those that this daemon prefers.
@@ -67,9 +67,9 @@
 }
 
 impl Upstream {
-    pub fn new(known: Known, rank: u64, now: Instant) -> Upstream {
+    pub fn new(info: UpstreamInfo, rank: u64, now: Instant) -> Upstream {
         Upstream {
-            known,
+            info,
             present: true,
             outstanding: 0,
             speed: None,
@@ -83,18 +83,18 @@
             ejections: 0,
             aside_until: None,
             back_off: None,
-            accepts: None,
+            accept_ratio: None,
             next_token: None,
             rank,
         }
     }
 
     pub fn takes_work(&self) -> bool {
-        self.present && self.known.readiness != Readiness::Draining && !self.silent
+        self.present && self.info.readiness != Readiness::Draining && !self.silent
     }
 
     pub fn is_aside(&self, now: Instant) -> bool {
-        self.known.doubted || self.aside_until.is_some_and(|until| now < until)
+        self.info.host_suspected || self.aside_until.is_some_and(|until| now < until)
     }
 
     pub fn is_backing_off(&self, priority: Priority, now: Instant) -> bool {
@@ -109,7 +109,7 @@
 
     /// Returns how many calls it may be expected to run at once.
     pub fn slots(&self, now: Instant, policy: Policy) -> f64 {
-        let slots = f64::from(self.known.slots.max(1));
+        let slots = f64::from(self.info.slots.max(1));
         if policy.unproven && !self.is_proven(now) {
             return slots.min(UNPROVEN_SLOTS);
         }
@@ -152,15 +152,15 @@
     }
 
     /// Takes in what its host tells of it.
-    pub fn told(&mut self, told: Told, now: Instant) {
-        self.hint = told.load.map(|load| (load, now)).or(self.hint);
-        self.accepts = told.accepts.map(|share| (share, now)).or(self.accepts);
-        self.next_token = told.next_token.map(|wait| now + wait);
+    pub fn apply_report(&mut self, report: LoadReport, now: Instant) {
+        self.hint = report.load.map(|load| (load, now)).or(self.hint);
+        self.accept_ratio = report.accept_ratio.map(|share| (share, now)).or(self.accept_ratio);
+        self.next_token = report.next_token.map(|wait| now + wait);
     }
 
     /// Returns the share of the calls sent to it that it takes.
-    pub fn accepts(&self, now: Instant) -> f64 {
-        let Some((share, at)) = self.accepts else { return 1.0 };
+    pub fn accept_ratio(&self, now: Instant) -> f64 {
+        let Some((share, at)) = self.accept_ratio else { return 1.0 };
         let idle = now.saturating_duration_since(at).as_secs_f64();
         1.0 - (1.0 - share) * 0.5_f64.powf(idle / FORGIVE.as_secs_f64())
     }
--- a/crates/core/src/request/suspects/mod.rs
+++ b/crates/core/src/request/suspects/mod.rs
@@ -1,8 +1,8 @@
 //! Calls that end the upstreams which run them.
 //!
 //! When an upstream ends, every call at it is suspected. A call under which
-//! [`ENDS_TO_JUDGE`] upstreams ended, and which none has run well, is quarantined: it
-//! is sent to no upstream for [`QUARANTINE`]. What counts is the contents of a call, by
+//! [`ENDS_TO_QUARANTINE`] upstreams ended, and which none has run well, is quarantined: it
+//! is sent to no upstream for [`QUARANTINE_TIME`]. What counts is the contents of a call, by
 //! its [`CallDigest`], over all daemons: its caller gives it a new id with each try and
 //! may bring it to any host.
 //!
@@ -35,7 +35,7 @@
 mod review;
 mod row;
 
-pub use self::review::{Review, SETTLE, TRIAL_AFTER};
+pub use self::review::{Review, SETTLE_TIME, TRIAL_AFTER};
 use self::row::{Row, unite};
 use crate::delivery::tree::mix;
 use crate::ids::{CallDigest, StartKey};
@@ -46,10 +46,10 @@
 /// Ends of different upstreams after which a call is quarantined. One may be chance; a
 /// second, with no good run between, costs an innocent call at most its caller's further
 /// tries, and a third would cost a service one more upstream.
-pub const ENDS_TO_JUDGE: usize = 2;
+pub const ENDS_TO_QUARANTINE: usize = 2;
 /// How long a call is sent to nobody after the last end. A new release takes minutes to
 /// cure it, and one more upstream ends if it has not: six an hour.
-pub const QUARANTINE: Duration = Duration::from_secs(600);
+pub const QUARANTINE_TIME: Duration = Duration::from_secs(600);
 /// How long an end is remembered after that: the next one quarantines the call at once.
 const REMEMBERED: Duration = Duration::from_secs(3600);
 /// Time before its end from which on a suspicion is not told any more, so that daemons
@@ -63,13 +63,13 @@
 const GOOD_KEPT: usize = 1024;
 /// Most calls suspected at once, about 150 KB. To fill it upstreams of ten slots must end
 /// a hundred times within an hour; those not yet quarantined go first.
-pub const MOST_SUSPECTED: usize = 1024;
+pub const MAX_SUSPECTED: usize = 1024;
 /// Ends kept of a call; more tell nothing new.
 const ENDS_KEPT: usize = 8;
 
 /// What a daemon knows against a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineState {
     /// Nothing.
     Clear,
     /// An upstream ended under it.
@@ -129,10 +129,10 @@
             if !unite(&mut row.ended, &[start]) {
                 continue;
             }
-            row.until = now + QUARANTINE;
+            row.until = now + QUARANTINE_TIME;
             row.grown_at = now;
             row.seen_here = true;
-            row.unsaved |= row.count() >= ENDS_TO_JUDGE;
+            row.unsaved |= row.count() >= ENDS_TO_QUARANTINE;
             news.push(row.told(*call, now));
         }
         news
@@ -151,12 +151,12 @@
     }
 
     /// Takes in what another daemon told; returns what is news here.
-    pub fn take(&mut self, told: &[Suspicion], now: Instant) -> Vec<Suspicion> {
-        told.iter().filter_map(|suspicion| self.take_one(suspicion, now)).collect()
+    pub fn merge(&mut self, told: &[Suspicion], now: Instant) -> Vec<Suspicion> {
+        told.iter().filter_map(|suspicion| self.merge_one(suspicion, now)).collect()
     }
 
-    fn take_one(&mut self, told: &Suspicion, now: Instant) -> Option<Suspicion> {
-        let left = Duration::from_millis(u64::from(told.left_ms)).min(QUARANTINE);
+    fn merge_one(&mut self, told: &Suspicion, now: Instant) -> Option<Suspicion> {
+        let left = Duration::from_millis(u64::from(told.left_ms)).min(QUARANTINE_TIME);
         if left.is_zero() {
             return None;
         }
@@ -166,7 +166,7 @@
         if has_ended {
             row.until = row.until.max(now + left);
             row.grown_at = now;
-            row.unsaved |= row.seen_here && row.count() >= ENDS_TO_JUDGE;
+            row.unsaved |= row.seen_here && row.count() >= ENDS_TO_QUARANTINE;
         }
         let is_cleared = unite(&mut row.cleared, &told.cleared);
         row.unsaved |= is_cleared && row.is_kept;
@@ -176,14 +176,14 @@
     }
 
     /// Returns what is known against a call.
-    pub fn standing(&self, call: CallDigest, now: Instant) -> Standing {
-        let Some(row) = self.rows.get(&call) else { return Standing::Clear };
+    pub fn state(&self, call: CallDigest, now: Instant) -> QuarantineState {
+        let Some(row) = self.rows.get(&call) else { return QuarantineState::Clear };
         match row.count() {
-            0 => Standing::Clear,
+            0 => QuarantineState::Clear,
             _ if row.is_judged(now) && !self.is_explained(call, row) => {
-                Standing::Quarantined { left: row.until.saturating_duration_since(now) }
+                QuarantineState::Quarantined { left: row.until.saturating_duration_since(now) }
             }
-            _ => Standing::Suspected,
+            _ => QuarantineState::Suspected,
         }
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Takes in that a quarantined call is kept.
-    pub fn saved(&mut self, kept: &Suspicion) {
+    pub fn mark_saved(&mut self, kept: &Suspicion) {
         if let Some(row) = self.rows.get_mut(&kept.call) {
             row.is_kept = true;
             row.unsaved = row.ended != kept.ended || row.cleared != kept.cleared;
@@ -231,7 +231,7 @@
 
     /// Takes in that what was kept may be gone; returns how much is to be kept again: what
     /// this daemon kept, or `all` that it knows.
-    pub fn lost_from_store(&mut self, all: bool, now: Instant) -> usize {
+    pub fn mark_lost(&mut self, all: bool, now: Instant) -> usize {
         let is_lost = |row: &&mut Row| row.is_kept || (all && row.is_judged(now));
         let lost = self.rows.values_mut().filter(is_lost);
         lost.map(|row| row.unsaved = true).count()
@@ -253,7 +253,7 @@
 
     /// Returns a call's row, in place of one that matters less where there are too many.
     fn row(&mut self, call: CallDigest, now: Instant) -> &mut Row {
-        if self.rows.len() >= MOST_SUSPECTED && !self.rows.contains_key(&call) {
+        if self.rows.len() >= MAX_SUSPECTED && !self.rows.contains_key(&call) {
             let least = self.rows.iter().min_by_key(|(_, row)| (row.is_judged(now), row.until));
             if let Some(least) = least.map(|(call, _)| *call) {
                 self.rows.remove(&least);
--- a/crates/core/src/request/suspects/review.rs
+++ b/crates/core/src/request/suspects/review.rs
@@ -3,7 +3,7 @@
 //! A quarantined call never runs, so that no good run can clear it. Failure: two
 //! upstreams of a fleet that has just started end within the time of one run. Symptom:
 //! every call at both is quarantined, the guilty one and those beside it, and callers are
-//! refused for [`QUARANTINE`](super::QUARANTINE) although most would be served.
+//! refused for [`QUARANTINE_TIME`](super::QUARANTINE_TIME) although most would be served.
 //!
 //! Two rules find the innocent. A call is *explained* where at each end that speaks against
 //! it another one was that has more of them: it is sent again, until it has as many. A call
@@ -16,13 +16,13 @@
 //! A guilty call ends one upstream more for each trial, up to [`MOST_FOR_TRIAL`] in all. It
 //! is tried only where others share its ends, and else [`TRIAL_AFTER`] its last end.
 
-use super::{ENDS_TO_JUDGE, QUARANTINE, Row, Suspects};
+use super::{ENDS_TO_QUARANTINE, QUARANTINE_TIME, Row, Suspects};
 use crate::ids::CallDigest;
 use std::time::{Duration, Instant};
 
 /// How long a verdict waits for news of the same ends. The daemons beside two upstreams
 /// tell of them apart; before both have told, a call looks alone at ends that it shared.
-pub const SETTLE: Duration = Duration::from_millis(250);
+pub const SETTLE_TIME: Duration = Duration::from_millis(250);
 /// Time after the last end after which a call that was alone at its ends is tried: an
 /// innocent one is refused for that long, and a release that mends a guilty one takes
 /// about as long at the least.
@@ -46,7 +46,7 @@
     /// Returns how sure the verdict on a quarantined call is.
     pub fn review(&self, call: CallDigest, now: Instant) -> Review {
         let Some(row) = self.rows.get(&call) else { return Review::Doubtful };
-        if now < row.grown_at + SETTLE {
+        if now < row.grown_at + SETTLE_TIME {
             return Review::Settling;
         }
         let ends = row.count();
@@ -54,7 +54,7 @@
             return Review::Certain;
         }
         let is_shared = self.is_shared(call, row);
-        let last_end = row.until.checked_sub(QUARANTINE).unwrap_or(now);
+        let last_end = row.until.checked_sub(QUARANTINE_TIME).unwrap_or(now);
         let is_old = now >= last_end + TRIAL_AFTER;
         if is_shared || is_old { Review::Doubtful } else { Review::Certain }
     }
@@ -71,12 +71,12 @@
     /// The first time one that was cleared since is as good: that it is innocent does not
     /// make the call that is left guilty.
     fn is_shared(&self, call: CallDigest, row: &Row) -> bool {
-        let is_first = row.count() == ENDS_TO_JUDGE;
+        let is_first = row.count() == ENDS_TO_QUARANTINE;
         let suspects: Vec<&Row> =
-            self.others(call).filter(|other| other.ended.len() >= ENDS_TO_JUDGE).collect();
+            self.others(call).filter(|other| other.ended.len() >= ENDS_TO_QUARANTINE).collect();
         row.against().all(|start| {
             let mut at_end = suspects.iter().filter(|other| other.ended.contains(start));
-            at_end.any(|other| is_first || other.count() >= ENDS_TO_JUDGE)
+            at_end.any(|other| is_first || other.count() >= ENDS_TO_QUARANTINE)
         })
     }
 
--- a/crates/core/src/request/suspects/row.rs
+++ b/crates/core/src/request/suspects/row.rs
@@ -1,6 +1,6 @@
 //! What a daemon knows against one call.
 
-use super::{ENDS_KEPT, ENDS_TO_JUDGE, Suspicion};
+use super::{ENDS_KEPT, ENDS_TO_QUARANTINE, Suspicion};
 use crate::ids::{CallDigest, StartKey};
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
 pub(super) struct Row {
     pub ended: Vec<StartKey>,
     pub cleared: Vec<StartKey>,
-    /// When the last end is [`QUARANTINE`] old.
+    /// When the last end is [`QUARANTINE_TIME`] old.
     pub until: Instant,
     /// When this daemon last came to know of one more end.
     pub grown_at: Instant,
@@ -48,7 +48,7 @@
     }
 
     pub fn is_judged(&self, now: Instant) -> bool {
-        self.count() >= ENDS_TO_JUDGE && now < self.until
+        self.count() >= ENDS_TO_QUARANTINE && now < self.until
     }
 
     /// Takes it for cleared of all ends known; returns whether that is news.
--- a/crates/core/tests/held_back.rs
+++ b/crates/core/tests/held_back.rs
@@ -4,19 +4,21 @@
 use cicadashift_core::ids::HostKey;
 use cicadashift_core::membership::record::Readiness;
 use cicadashift_core::request::MIN_RETRY_AFTER;
-use cicadashift_core::request::choose::{Demand, Known, Outcome, Picker, Place, Policy, Told};
+use cicadashift_core::request::choose::{
+    Demand, LoadReport, Locality, Outcome, Picker, Policy, UpstreamInfo,
+};
 use cicadashift_core::request::gate::KindKey;
 use std::time::{Duration, Instant};
 
 fn two_upstreams(now: Instant) -> Picker {
     let mut picker = Picker::new(Policy::ALL, HostKey::of("me"));
-    let known = (0..2).map(|n| Known {
+    let known = (0..2).map(|n| UpstreamInfo {
         host: HostKey(n),
         instance: format!("u{n}"),
-        place: Place::Near,
+        locality: Locality::SameDomain,
         slots: 4,
         readiness: Readiness::Ready,
-        doubted: false,
+        host_suspected: false,
     });
     picker.sync(known, now);
     picker
@@ -32,8 +34,8 @@
         priority: Priority::NORMAL,
         objective: Duration::from_millis(400),
     };
-    let told = Told { load: None, accepts: None, next_token: None };
-    let refused = Outcome::Refused { retry_after: MIN_RETRY_AFTER, told };
+    let report = LoadReport { load: None, accept_ratio: None, next_token: None };
+    let refused = Outcome::Refused { retry_after: MIN_RETRY_AFTER, report };
     for (outcome, is_left) in [(Outcome::HeldBack, true), (refused, false)] {
         let mut picker = two_upstreams(now);
         for random in 0..2 {
--- a/crates/core/tests/named_limits.rs
+++ b/crates/core/tests/named_limits.rs
@@ -5,7 +5,7 @@
 use cicadashift_core::ids::HostKey;
 use cicadashift_core::membership::record::Readiness;
 use cicadashift_core::request::choose::{
-    Demand, Known, Outcome, Picker, Place, Policy, Told, UpstreamKey,
+    Demand, LoadReport, Locality, Outcome, Picker, Policy, UpstreamInfo, UpstreamKey,
 };
 use cicadashift_core::request::gate::pace::{LimitChange, NamedLimit, Pace};
 use cicadashift_core::request::gate::{
@@ -74,13 +74,13 @@
 impl Mesh {
     fn new(daemons: usize, limits: &[Option<f64>], seed: u64) -> Mesh {
         let start = Instant::now();
-        let known = |i: usize| Known {
+        let known = |i: usize| UpstreamInfo {
             host: HostKey(1000 + i as u64),
             instance: format!("i-{i}"),
-            place: Place::Near,
+            locality: Locality::SameDomain,
             slots: SLOTS,
             readiness: Readiness::Ready,
-            doubted: false,
+            host_suspected: false,
         };
         let picker = |me: usize| {
             let mut picker = Picker::new(Policy::ALL, HostKey(me as u64));
@@ -198,17 +198,17 @@
     }
 
     fn refuse(&mut self, attempt: usize, refusal: Refusal) {
-        let told = self.told(self.tries[attempt].upstream);
+        let report = self.report(self.tries[attempt].upstream);
         let retry_after = refusal.retry_after();
-        self.tries[attempt].outcome = Some(Outcome::Refused { retry_after, told });
+        self.tries[attempt].outcome = Some(Outcome::Refused { retry_after, report });
         self.at(self.now + WAY, Event::Back(attempt));
     }
 
-    fn told(&mut self, upstream: usize) -> Told {
+    fn report(&mut self, upstream: usize) -> LoadReport {
         let gate = &mut self.upstreams[upstream].gate;
-        Told {
+        LoadReport {
             load: Some((gate.running() + gate.queued()) as u16),
-            accepts: Some(gate.accepts(self.now)),
+            accept_ratio: Some(gate.accepts(self.now)),
             next_token: gate.schedule_retry(self.now),
         }
     }
@@ -250,8 +250,8 @@
         let _change = gate.observe_limit(named, now - WORK, now);
         let wakes = gate.ended(ticket, End::Answered(WORK), now);
         self.wake(upstream, wakes);
-        let told = self.told(upstream);
-        let outcome = Outcome::Answered { service: WORK, total: WORK + WAY * 2, told };
+        let report = self.report(upstream);
+        let outcome = Outcome::Answered { service: WORK, total: WORK + WAY * 2, report };
         self.tries[attempt].outcome = Some(outcome);
         self.at(now + WAY, Event::Back(attempt));
     }
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -8,7 +8,7 @@
 use cicadashift_core::membership::record::Readiness;
 use cicadashift_core::membership::record::{Health, Record};
 use cicadashift_core::membership::table::Table;
-use cicadashift_core::request::choose::{Demand, Known, Picker, Place, Policy};
+use cicadashift_core::request::choose::{Demand, Locality, Picker, Policy, UpstreamInfo};
 use cicadashift_core::request::gate::{
     Admission, Arrival, CallerKey, End, Gate, KindKey, Ticket, Wake,
 };
@@ -193,18 +193,18 @@
             objective: Duration::ZERO,
         };
         for set in sets {
-            let known = set.iter().map(|n| Known {
+            let known = set.iter().map(|n| UpstreamInfo {
                 host: HostKey(*n),
                 instance: format!("u{n}"),
-                place: Place::Near,
+                locality: Locality::SameDomain,
                 slots: 10,
                 readiness: Readiness::Ready,
-                doubted: false,
+                host_suspected: false,
             });
             picker.sync(known, now);
             prop_assert_eq!(picker.len(), set.len());
             if let Ok(choice) = picker.choose(demand, now, 11, &[]) {
-                prop_assert!(set.contains(&picker.known(choice.key).host.0));
+                prop_assert!(set.contains(&picker.info(choice.key).host.0));
                 prop_assert!(choice.key.0 < 20, "places are used again");
             }
         }
--- a/crates/core/tests/scenarios/requests.rs
+++ b/crates/core/tests/scenarios/requests.rs
@@ -5,7 +5,7 @@
 use cicadashift_core::ids::HostKey;
 use cicadashift_core::membership::record::Readiness;
 use cicadashift_core::request::choose::{
-    Demand, Known, Outcome, Picker, Place, Policy, Told, UpstreamKey,
+    Demand, LoadReport, Locality, Outcome, Picker, Policy, UpstreamInfo, UpstreamKey,
 };
 use cicadashift_core::request::gate::{
     Admission, Arrival, CallerKey, End, Gate, KindKey, Ticket, Wake,
@@ -22,7 +22,7 @@
     gate: Gate,
     names: HashMap<Ticket, String>,
     picker: Picker,
-    known: Vec<Known>,
+    known: Vec<UpstreamInfo>,
     budget: Budget,
     random: u64,
     link: Link,
@@ -278,21 +278,21 @@
         let near = list(case, "near");
         let far = list(case, "far");
         let here = list(case, "here");
-        let known = |name: &String, place| Known {
+        let known = |name: &String, locality| UpstreamInfo {
             host: HostKey::of(name),
             instance: name.clone(),
-            place,
+            locality,
             slots: number(case, "slots", 10) as u16,
             readiness: match (draining.contains(name), cold.contains(name)) {
                 (true, _) => Readiness::Draining,
                 (_, true) => Readiness::Cold,
                 _ => Readiness::Ready,
             },
-            doubted: doubted.contains(name),
+            host_suspected: doubted.contains(name),
         };
-        self.known = here.iter().map(|name| known(name, Place::Here)).collect();
-        self.known.extend(near.iter().map(|name| known(name, Place::Near)));
-        self.known.extend(far.iter().map(|name| known(name, Place::Far)));
+        self.known = here.iter().map(|name| known(name, Locality::SameHost)).collect();
+        self.known.extend(near.iter().map(|name| known(name, Locality::SameDomain)));
+        self.known.extend(far.iter().map(|name| known(name, Locality::OtherDomain)));
         self.picker.sync(self.known.clone(), self.now());
         format!("{} take work\n", self.picker.len())
     }
@@ -310,7 +310,7 @@
                     if arg(case, "dry", "no") == "no" {
                         self.picker.started(choice.key);
                     }
-                    format!("{} ({:?})", self.picker.known(choice.key).instance, choice.reason)
+                    format!("{} ({:?})", self.picker.info(choice.key).instance, choice.reason)
                 }
                 Err(wait) => format!("nobody, come back in {} ms", wait.as_millis()),
             };
@@ -321,28 +321,31 @@
 
     fn outcome(&mut self, case: &TestCase) -> String {
         let time = Duration::from_millis(number(case, "ms", 5));
-        let told = Told {
+        let report = LoadReport {
             load: case.args.get("load").map(|_| number(case, "load", 0) as u16),
-            accepts: case.args.get("accepts").map(|_| number(case, "accepts", 100) as f64 / 100.0),
+            accept_ratio: case
+                .args
+                .get("accepts")
+                .map(|_| number(case, "accepts", 100) as f64 / 100.0),
             next_token: case
                 .args
                 .get("next")
                 .map(|_| Duration::from_millis(number(case, "next", 0))),
         };
         let outcome = match arg(case, "as", "answered") {
-            "refused" => Outcome::Refused { retry_after: time, told },
-            "full" => Outcome::Full { told },
+            "refused" => Outcome::Refused { retry_after: time, report },
+            "full" => Outcome::Full { report },
             "unreached" => Outcome::Unreached,
             "failed" => Outcome::Failed,
-            "erred" => Outcome::Erred,
+            "erred" => Outcome::ErrorAnswer,
             "cancelled" => Outcome::Cancelled,
-            _ => Outcome::Answered { service: time, total: time, told },
+            _ => Outcome::Answered { service: time, total: time, report },
         };
         for _ in 0..number(case, "times", 1) {
             for name in list(case, "of") {
                 if let Some(key) = self.key(&name) {
                     match arg(case, "as", "answered") {
-                        "late" => self.picker.late(key, demand(case), time, self.now()),
+                        "late" => self.picker.record_late(key, demand(case), time, self.now()),
                         _ => self.picker.ended(key, demand(case), outcome, self.now()),
                     }
                 }
@@ -357,7 +360,7 @@
         let wait = Duration::from_millis(number(case, "ms", 0));
         for name in list(case, "of") {
             if let Some(key) = self.key(&name) {
-                self.picker.link(key, wait, self.now());
+                self.picker.record_link_wait(key, wait, self.now());
             }
         }
         String::new()
@@ -367,7 +370,7 @@
         (0..self.known.len() as u32 + 8)
             .map(UpstreamKey)
             .take(self.known.len())
-            .find(|key| self.picker.known(*key).instance == name)
+            .find(|key| self.picker.info(*key).instance == name)
     }
 
     fn retry(&mut self, case: &TestCase) -> String {
--- a/crates/core/tests/suspects.rs
+++ b/crates/core/tests/suspects.rs
@@ -3,7 +3,7 @@
 
 use cicadashift_core::ids::{CallDigest, StartKey};
 use cicadashift_core::request::suspects::{
-    MOST_SUSPECTED, QUARANTINE, Standing, Suspects, Suspicion,
+    MAX_SUSPECTED, QUARANTINE_TIME, QuarantineState, Suspects, Suspicion,
 };
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
 }
 
 fn is_quarantined(suspects: &Suspects, call: CallDigest, now: Instant) -> bool {
-    matches!(suspects.standing(call, now), Standing::Quarantined { .. })
+    matches!(suspects.state(call, now), QuarantineState::Quarantined { .. })
 }
 
 /// A small generator, so that one seed gives one series of events.
@@ -43,16 +43,16 @@
     let first: Vec<_> = others(10).chain([GUILTY]).collect();
     let second: Vec<_> = others(30).chain([GUILTY]).collect();
     suspects.ended(start(1), &first, now);
-    let after_one = suspects.standing(GUILTY, now);
+    let after_one = suspects.state(GUILTY, now);
     suspects.ended(start(1), &first, now);
-    let told_twice = suspects.standing(GUILTY, now);
+    let told_twice = suspects.state(GUILTY, now);
     suspects.ended(start(2), &second, now + ms(100));
-    let after_two = suspects.standing(GUILTY, now + ms(100));
-    let beside = suspects.standing(CallDigest(10), now + ms(100));
-    let over = now + ms(100) + QUARANTINE;
-    let later = suspects.standing(GUILTY, over);
+    let after_two = suspects.state(GUILTY, now + ms(100));
+    let beside = suspects.state(CallDigest(10), now + ms(100));
+    let over = now + ms(100) + QUARANTINE_TIME;
+    let later = suspects.state(GUILTY, over);
     suspects.ended(start(3), &[GUILTY], over);
-    let again = suspects.standing(GUILTY, over);
+    let again = suspects.state(GUILTY, over);
     insta::assert_debug_snapshot!(
         (after_one, told_twice, after_two, beside, later, again),
         @r"
@@ -83,18 +83,18 @@
     for n in 1..10 {
         assert_eq!(suspects.ended(start(n), &[INNOCENT], now + ms(n)), []);
     }
-    assert_eq!(suspects.standing(INNOCENT, now + ms(10)), Standing::Clear);
+    assert_eq!(suspects.state(INNOCENT, now + ms(10)), QuarantineState::Clear);
 
     let mut there = Suspects::default();
     let mut news = there.ended(start(1), &[INNOCENT], now);
     news.extend(there.ended(start(2), &[INNOCENT], now));
     assert!(is_quarantined(&there, INNOCENT, now));
-    let veto = suspects.take(&news, now + ms(20));
-    there.take(&veto, now + ms(21));
-    assert_eq!(there.standing(INNOCENT, now + ms(21)), Standing::Clear);
+    let veto = suspects.merge(&news, now + ms(20));
+    there.merge(&veto, now + ms(21));
+    assert_eq!(there.state(INNOCENT, now + ms(21)), QuarantineState::Clear);
     // Late news of the same ends change nothing.
-    there.take(&news, now + ms(30));
-    assert_eq!(there.standing(INNOCENT, now + ms(30)), Standing::Clear);
+    there.merge(&news, now + ms(30));
+    assert_eq!(there.state(INNOCENT, now + ms(30)), QuarantineState::Clear);
 }
 
 // Four daemons see ends of upstreams and good runs of twenty calls, two of them guilty,
@@ -121,7 +121,7 @@
             under_way.push(news);
             let at = random.below(under_way.len() as u64) as usize;
             let told = under_way[at].clone();
-            let more = daemons[random.below(4) as usize].take(&told, now);
+            let more = daemons[random.below(4) as usize].merge(&told, now);
             under_way.push(more);
         }
         for call in 3..=20 {
@@ -131,7 +131,7 @@
             for from in 0..4 {
                 let all = daemons[from].all(now);
                 for daemon in &mut daemons {
-                    daemon.take(&all, now);
+                    daemon.merge(&all, now);
                 }
             }
         }
@@ -159,8 +159,8 @@
     }
     let at_end = now + ms(5_000);
     assert!(is_quarantined(&suspects, GUILTY, at_end));
-    assert_eq!(suspects.standing(INNOCENT, at_end), Standing::Clear);
-    assert_eq!(suspects.all(at_end).len(), MOST_SUSPECTED);
+    assert_eq!(suspects.state(INNOCENT, at_end), QuarantineState::Clear);
+    assert_eq!(suspects.all(at_end).len(), MAX_SUSPECTED);
 }
 
 // Daemons forget at slightly different moments. One that has forgotten is not reminded by
@@ -172,8 +172,8 @@
     let mut news = early.ended(start(1), &[GUILTY], now);
     news.extend(early.ended(start(2), &[GUILTY], now));
     let mut late = Suspects::default();
-    late.take(&news, now + ms(700));
-    let nearly = now + QUARANTINE - ms(1);
+    late.merge(&news, now + ms(700));
+    let nearly = now + QUARANTINE_TIME - ms(1);
     assert!(is_quarantined(&early, GUILTY, nearly));
     assert_eq!((early.all(nearly), late.all(nearly)), (Vec::new(), Vec::new()));
     assert_eq!(early.summary(nearly), late.summary(nearly));
@@ -188,22 +188,22 @@
     let first = saw.ended(start(1), &[GUILTY], now);
     assert_eq!(saw.unsaved(now), []);
     let mut other = Suspects::default();
-    other.take(&first, now);
+    other.merge(&first, now);
     let second = other.ended(start(2), &[GUILTY], now);
     let mut heard = Suspects::default();
-    heard.take(&second, now);
-    saw.take(&second, now);
+    heard.merge(&second, now);
+    saw.merge(&second, now);
     let unsaved = [&saw, &other, &heard].map(|suspects| suspects.unsaved(now).len());
     assert_eq!(unsaved, [1, 1, 0]);
-    saw.saved(&saw.unsaved(now)[0].clone());
+    saw.mark_saved(&saw.unsaved(now)[0].clone());
     assert_eq!(saw.unsaved(now), []);
     let mut restarted = Suspects::default();
-    restarted.take(&other.unsaved(now), now + ms(10));
+    restarted.merge(&other.unsaved(now), now + ms(10));
     assert!(is_quarantined(&restarted, GUILTY, now + ms(10)));
 
     // It is lifted at one of the others: who kept it keeps that too.
     let lifted = heard.clear(GUILTY, now + ms(20)).expect("it was known");
-    saw.take(&[lifted], now + ms(30));
-    restarted.take(&saw.unsaved(now + ms(30)), now + ms(40));
-    assert_eq!(restarted.standing(GUILTY, now + ms(40)), Standing::Clear);
+    saw.merge(&[lifted], now + ms(30));
+    restarted.merge(&saw.unsaved(now + ms(30)), now + ms(40));
+    assert_eq!(restarted.state(GUILTY, now + ms(40)), QuarantineState::Clear);
 }
--- a/crates/core/tests/verdicts.rs
+++ b/crates/core/tests/verdicts.rs
@@ -5,7 +5,7 @@
 //! a steady rate. News take up to 40 ms, and trials are made one at a time.
 
 use cicadashift_core::ids::{CallDigest, StartKey};
-use cicadashift_core::request::suspects::{Review, Standing, Suspects, Suspicion};
+use cicadashift_core::request::suspects::{QuarantineState, Review, Suspects, Suspicion};
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
@@ -98,7 +98,7 @@
         let at = self.random.below(DAEMONS as u64) as usize;
         let suspects = &self.daemons[at];
         let mut is_trial = false;
-        if let Standing::Quarantined { .. } = suspects.standing(call, self.now) {
+        if let QuarantineState::Quarantined { .. } = suspects.state(call, self.now) {
             is_trial = suspects.review(call, self.now) == Review::Doubtful && !self.is_trying;
             if !is_trial {
                 return false;
@@ -152,7 +152,7 @@
         let due: Vec<(u64, Suspicion)> = due;
         let told: Vec<Suspicion> = due.into_iter().map(|(_, suspicion)| suspicion).collect();
         for at in 0..DAEMONS {
-            let more = self.daemons[at].take(&told, self.now);
+            let more = self.daemons[at].merge(&told, self.now);
             self.tell(more);
         }
     }
--- a/crates/measure/src/load/entry.rs
+++ b/crates/measure/src/load/entry.rs
@@ -4,7 +4,7 @@
 use super::exit::{Stage, Try};
 use super::world::{CallerId, Event, HostId, KindId, RequestId, TryId, World};
 use cicadashift_core::request::MIN_RETRY_AFTER;
-use cicadashift_core::request::choose::{Demand, Outcome, Told, UpstreamKey};
+use cicadashift_core::request::choose::{Demand, LoadReport, Outcome, UpstreamKey};
 use cicadashift_core::request::gate::KindKey;
 use cicadashift_core::request::retry::{Attempt, Call, MAX_ATTEMPTS, Verdict};
 use std::time::Duration;
@@ -20,11 +20,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Got {
     /// A whole answer: whether it is good, and the time at the upstream.
-    Answer { good: bool, service: Duration, told: Told },
+    Answer { good: bool, service: Duration, report: LoadReport },
     /// The exit daemon or the upstream did not take it.
-    Refused { retry_after: Duration, arrived: bool, told: Told },
+    Refused { retry_after: Duration, arrived: bool, report: LoadReport },
     /// The exit daemon would have let it wait.
-    Full { told: Told },
+    Full { report: LoadReport },
     /// The host could not be reached.
     Unreached,
     /// No whole answer.
@@ -157,9 +157,9 @@
         let service = self.service_of_kind(kind);
         let picker = &mut self.hosts[entry.0].pickers[service];
         picker.started(key);
-        let known = picker.known(key);
+        let known = picker.info(key);
         let (host, name) = (HostId(known.host.0 as usize), known.instance.clone());
-        let late_after = picker.late_after(demand);
+        let hedge_after = picker.hedge_after(demand);
         let life = name.split('@').next_back().and_then(|life| life.parse().ok()).unwrap_or(0);
         let has_room = self.hosts[entry.0].pickers[service].has_room(key, self.instant(now));
         let asks_free = self.switches.ask_free && self.requests[id.0].asked_free < ASKED_FREE;
@@ -186,7 +186,7 @@
         }
         request.open.push(attempt);
         self.after(way, Event::AtExit(attempt));
-        if let Some(wait) = late_after.filter(|_| self.switches.second) {
+        if let Some(wait) = hedge_after.filter(|_| self.switches.second) {
             self.after(wait, Event::Late(attempt));
         }
     }
@@ -208,10 +208,10 @@
         let random = self.rng.u64(..);
         let tried = self.requests[id.0].tried.clone();
         let host = &mut self.hosts[entry.0];
-        host.pickers[service].late(key, demand, passed, at);
+        host.pickers[service].record_late(key, demand, passed, at);
         let Ok(choice) = host.pickers[service].choose(demand, at, random, &tried) else { return };
         let pays =
-            host.pickers[service].may_double(choice.key, at) && host.budgets[service].spend(random);
+            host.pickers[service].may_hedge(choice.key, at) && host.budgets[service].spend(random);
         if pays {
             self.requests[id.0].arrivals += 1;
             self.send(id, choice.key, demand);
@@ -228,10 +228,12 @@
         let now = self.now();
         let total = now.saturating_sub(sent);
         let outcome = match got {
-            Got::Answer { good: true, service, told } => Outcome::Answered { service, total, told },
-            Got::Answer { good: false, .. } => Outcome::Erred,
-            Got::Refused { retry_after, told, .. } => Outcome::Refused { retry_after, told },
-            Got::Full { told } => Outcome::Full { told },
+            Got::Answer { good: true, service, report } => {
+                Outcome::Answered { service, total, report }
+            }
+            Got::Answer { good: false, .. } => Outcome::ErrorAnswer,
+            Got::Refused { retry_after, report, .. } => Outcome::Refused { retry_after, report },
+            Got::Full { report } => Outcome::Full { report },
             Got::Unreached => Outcome::Unreached,
             Got::Broken => Outcome::Failed,
         };
--- a/crates/measure/src/load/exit.rs
+++ b/crates/measure/src/load/exit.rs
@@ -3,7 +3,7 @@
 use super::caller::End;
 use super::entry::{Got, Parent};
 use super::world::{Event, HostId, KindId, RequestId, TryId, World};
-use cicadashift_core::request::choose::{Demand, Told, UpstreamKey};
+use cicadashift_core::request::choose::{Demand, LoadReport, UpstreamKey};
 use cicadashift_core::request::gate::{
     self, Admission, Arrival, CallerKey, Gate, Refusal, Ticket, Wake,
 };
@@ -70,25 +70,25 @@
                 self.tries[attempt.0].stage = Stage::Waits(ticket);
             }
             Admission::Refuse(Refusal::Full { .. }) => {
-                let told = self.told(attempt);
-                self.answer(attempt, Got::Full { told });
+                let report = self.report(attempt);
+                self.answer(attempt, Got::Full { report });
             }
             Admission::Refuse(refusal) => self.refuse(attempt, refusal.retry_after(), false),
         }
     }
 
     fn refuse(&mut self, attempt: TryId, retry_after: Duration, arrived: bool) {
-        let told = self.told(attempt);
-        self.answer(attempt, Got::Refused { retry_after, arrived, told });
+        let report = self.report(attempt);
+        self.answer(attempt, Got::Refused { retry_after, arrived, report });
     }
 
     /// Returns what the exit daemon tells of its upstream beside any answer.
-    fn told(&self, attempt: TryId) -> Told {
+    fn report(&self, attempt: TryId) -> LoadReport {
         let host = self.tries[attempt.0].host;
         let gate = &self.hosts[host.0].gate;
-        Told {
+        LoadReport {
             load: Some((gate.running() + gate.queued()) as u16),
-            accepts: Some(gate.accepts(self.instant(self.now()))),
+            accept_ratio: Some(gate.accepts(self.instant(self.now()))),
             next_token: None,
         }
     }
@@ -193,8 +193,8 @@
     fn finish(&mut self, attempt: TryId, ticket: Ticket, good: bool) {
         let host = self.tries[attempt.0].host;
         let took = self.stop_nested(attempt);
-        let told = self.told(attempt);
-        self.answer(attempt, Got::Answer { good, service: took, told });
+        let report = self.report(attempt);
+        self.answer(attempt, Got::Answer { good, service: took, report });
         self.leave_gate(host, ticket, gate::End::Answered(took));
     }
 
--- a/crates/measure/src/load/world.rs
+++ b/crates/measure/src/load/world.rs
@@ -5,7 +5,7 @@
 use super::tally::Tally;
 use cicadashift_core::ids::HostKey;
 use cicadashift_core::membership::record::Readiness;
-use cicadashift_core::request::choose::{Known, Picker, Place};
+use cicadashift_core::request::choose::{Locality, Picker, UpstreamInfo};
 use cicadashift_core::request::gate::{Gate, Ticket};
 use cicadashift_core::request::retry::{Allowance, Budget};
 use cicadashift_core::request::returning::Returning;
@@ -441,38 +441,38 @@
     /// Tells every daemon which upstreams there are.
     fn spread_news(&mut self) {
         let now = self.instant(self.now);
-        let told: Vec<(usize, usize, Known)> =
+        let told: Vec<(usize, usize, UpstreamInfo)> =
             (0..self.hosts.len()).filter_map(|host| self.announcement(host)).collect();
         for me in 0..self.hosts.len() {
             let own = self.hosts[me].domain;
             for service in 0..self.services.len() {
                 let of_service = told.iter().filter(|(_, of, _)| *of == service);
                 let known = of_service.map(|(domain, _, known)| {
-                    let place = match (known.host.0 as usize == me, *domain == own) {
-                        (true, _) => Place::Here,
-                        (_, true) => Place::Near,
-                        _ => Place::Far,
+                    let locality = match (known.host.0 as usize == me, *domain == own) {
+                        (true, _) => Locality::SameHost,
+                        (_, true) => Locality::SameDomain,
+                        _ => Locality::OtherDomain,
                     };
-                    Known { place, ..known.clone() }
+                    UpstreamInfo { locality, ..known.clone() }
                 });
                 self.hosts[me].pickers[service].sync(known, now);
             }
         }
     }
 
-    fn announcement(&self, host: usize) -> Option<(usize, usize, Known)> {
+    fn announcement(&self, host: usize) -> Option<(usize, usize, UpstreamInfo)> {
         let state = &self.hosts[host];
         if !state.announced {
             return None;
         }
         let cold = self.now < state.cold_until;
-        let known = Known {
+        let known = UpstreamInfo {
             host: HostKey(host as u64),
             instance: format!("{host}@{}", state.life),
-            place: Place::Far,
+            locality: Locality::OtherDomain,
             slots: self.services[state.service].1.slots,
             readiness: if cold { Readiness::Cold } else { Readiness::Ready },
-            doubted: false,
+            host_suspected: false,
         };
         Some((state.domain, state.service, known))
     }
--- a/src/daemon/quarantine.rs
+++ b/src/daemon/quarantine.rs
@@ -12,7 +12,7 @@
 use crate::store::{Platform, PlatformError, Swap, keys};
 use cicadashift_core::ids::{CallDigest, StartKey};
 use cicadashift_core::membership::gossip::Queue;
-use cicadashift_core::request::suspects::{Review, Standing, Suspects, Suspicion};
+use cicadashift_core::request::suspects::{QuarantineState, Review, Suspects, Suspicion};
 use cicadashift_http::exec;
 use cicadashift_wire::rpc::{self, Request as Ask, Response};
 use smol::channel::{Receiver, Sender};
@@ -43,7 +43,7 @@
 const LOOK: Duration = Duration::from_millis(500);
 /// How long the store keeps a quarantine without a daemon: as long as it lasts. Daemons
 /// that read it after a restart count its time anew, so that it may last twice as long.
-const KEPT_FOR: Duration = cicadashift_core::request::suspects::QUARANTINE;
+const KEPT_FOR: Duration = cicadashift_core::request::suspects::QUARANTINE_TIME;
 
 /// What this daemon knows.
 pub struct Quarantine {
@@ -94,8 +94,8 @@
 }
 
 /// Returns what is known against a call.
-pub fn standing(d: &Daemon, call: CallDigest) -> Standing {
-    lock(&d.quarantine.suspects).standing(call, d.clock.now())
+pub fn standing(d: &Daemon, call: CallDigest) -> QuarantineState {
+    lock(&d.quarantine.suspects).state(call, d.clock.now())
 }
 
 /// Returns how sure the verdict on a quarantined call is.
@@ -121,7 +121,7 @@
     if told.is_empty() {
         return;
     }
-    let news = lock(&d.quarantine.suspects).take(told, d.clock.now());
+    let news = lock(&d.quarantine.suspects).merge(told, d.clock.now());
     take_in(d, news);
 }
 
@@ -215,7 +215,7 @@
     let unsaved = lock(&d.quarantine.suspects).unsaved(d.clock.now());
     for suspicion in unsaved {
         save(d, &suspicion).await?;
-        lock(&d.quarantine.suspects).saved(&suspicion);
+        lock(&d.quarantine.suspects).mark_saved(&suspicion);
     }
     Ok(())
 }
@@ -224,7 +224,7 @@
 /// may have ended since, so that whoever follows the store keeps all that it knows.
 fn restored(d: &Daemon, era: u64) {
     let all = d.follows.load(Ordering::Relaxed);
-    let kept = lock(&d.quarantine.suspects).lost_from_store(all, d.clock.now());
+    let kept = lock(&d.quarantine.suspects).mark_lost(all, d.clock.now());
     log::warn!("the store came back from a copy, era {era}: {kept} quarantines are kept again");
     d.metrics.incr("platform.restored");
 }
@@ -267,13 +267,13 @@
     for suspicion in &news {
         let Suspicion { call, ended, .. } = suspicion;
         match standing(d, *call) {
-            Standing::Quarantined { left } => {
+            QuarantineState::Quarantined { left } => {
                 d.metrics.incr("quarantine.judged");
                 let (ends, left) = (ended.len(), left.as_secs());
                 log::warn!("call {call} is quarantined for {left} s: {ends} upstreams ended");
             }
-            Standing::Clear => log::info!("call {call} is cleared"),
-            Standing::Suspected => log::debug!("call {call} is suspected"),
+            QuarantineState::Clear => log::info!("call {call} is cleared"),
+            QuarantineState::Suspected => log::debug!("call {call} is suspected"),
         }
     }
     *lock(&d.quarantine.summary) = None;
--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/second.rs
@@ -13,7 +13,7 @@
 use crate::daemon::services::Target;
 use crate::daemon::{Daemon, liveness, quarantine};
 use cicadashift_core::request::retry::{Attempt, Verdict};
-use cicadashift_core::request::suspects::Standing;
+use cicadashift_core::request::suspects::QuarantineState;
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
     };
     let mut first = Box::pin(send(d, work, target, body, patience));
     // A suspected call is not sent to two upstreams at once.
-    let is_clear = quarantine::standing(d, work.digest) == Standing::Clear;
+    let is_clear = quarantine::standing(d, work.digest) == QuarantineState::Clear;
     let may_double =
         is_clear && work.repeatable && payload.is_left() && so_far.arrivals + 1 < work.allowed;
     let why = match race(first.as_mut(), late(d, work, target, may_double)).await {
@@ -51,7 +51,7 @@
     let now = d.clock.now();
     let (key, passed) = (target.choice.key, now.saturating_duration_since(began));
     d.services.with(&work.service, |service| {
-        service.picker.late(key, work.demand(began), passed, now);
+        service.picker.record_late(key, work.demand(began), passed, now);
     });
     let spare = match may_double {
         true => d.services.choose_spare(&work.service, work.demand(now), now, &so_far.tried),
@@ -106,7 +106,7 @@
     let after = d.services.with(&work.service, |service| {
         // A second large answer would keep a second link as busy as the first.
         let is_large = service.picker.is_large(demand.kind);
-        service.picker.late_after(demand).filter(|_| !is_large)
+        service.picker.hedge_after(demand).filter(|_| !is_large)
     });
     let slow = async {
         match after.flatten().filter(|_| may_double) {
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -13,7 +13,7 @@
 use cicadashift_core::request::gate::{Arrival, CallerKey, End, KindKey, Refusal};
 use cicadashift_core::request::link::Large;
 use cicadashift_core::request::spread;
-use cicadashift_core::request::suspects::{Review, SETTLE, Standing};
+use cicadashift_core::request::suspects::{QuarantineState, Review, SETTLE_TIME};
 use cicadashift_http::body::{self, Body};
 use cicadashift_http::client::{Connection, IDLE_TIME};
 use cicadashift_http::exec;
@@ -113,11 +113,13 @@
 /// Its entry daemon asks too; only this one can be sure of the moment of the send.
 fn quarantined(d: &Daemon, cx: &Context) -> Option<Refusal> {
     match quarantine::standing(d, cx.digest) {
-        Standing::Suspected | Standing::Clear => None,
-        Standing::Quarantined { left } => match quarantine::review(d, cx.digest) {
+        QuarantineState::Suspected | QuarantineState::Clear => None,
+        QuarantineState::Quarantined { left } => match quarantine::review(d, cx.digest) {
             Review::Certain => Some(Refusal::Quarantined { retry_after: left }),
             Review::Settling | Review::Doubtful if cx.is_trial => None,
-            Review::Settling | Review::Doubtful => Some(Refusal::Disputed { retry_after: SETTLE }),
+            Review::Settling | Review::Doubtful => {
+                Some(Refusal::Disputed { retry_after: SETTLE_TIME })
+            }
         },
     }
 }
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -7,7 +7,7 @@
 use crate::daemon::costs::Purpose;
 use crate::daemon::services::{Flight, Target};
 use crate::daemon::{Daemon, liveness, lock, quarantine};
-use cicadashift_core::request::choose::{Outcome, Place, Told};
+use cicadashift_core::request::choose::{LoadReport, Locality, Outcome};
 use cicadashift_core::request::gate::KindKey;
 use cicadashift_core::request::retry::Attempt;
 use cicadashift_http::body::Body;
@@ -68,7 +68,7 @@
     lock(&d.liveness).asked(target.host, started);
     let cx = context(d, work, target, left, patience, started);
     let req = request(work, body);
-    let is_far = target.place == Place::Far;
+    let is_far = target.locality == Locality::OtherDomain;
     d.costs.add(Purpose::Call, is_far, CALL_HEAD + size_of(req.body()));
     let sent = match target.host == d.me {
         true => exec::timeout(left + ANSWER_MARGIN, here(d, cx, req)).await,
@@ -132,8 +132,12 @@
     started: Instant,
 ) -> Got {
     let (head, body) = res.into_parts();
-    d.costs.add(Purpose::Answer, target.place == Place::Far, CALL_HEAD + size_of(&body));
-    let told = told(&head.headers);
+    d.costs.add(
+        Purpose::Answer,
+        target.locality == Locality::OtherDomain,
+        CALL_HEAD + size_of(&body),
+    );
+    let report = report(&head.headers);
     if d.signals.take(target.host, &target.instance, &head.headers, d.clock.now()) {
         d.services.sync(d);
     }
@@ -141,7 +145,7 @@
     if let Some(ms) = headers::number(&head.headers, call::LINK_MS) {
         let now = d.clock.now();
         let wait = Duration::from_millis(ms);
-        d.services.with(&work.service, |service| service.picker.link(key, wait, now));
+        d.services.with(&work.service, |service| service.picker.record_link_wait(key, wait, now));
     }
     if let Some((attempt, reason)) = answer::refusal(&head) {
         if reason == call::UPSTREAM_ENDED {
@@ -152,8 +156,8 @@
             Attempt::NotRun { .. } if reason == "unreached" => Outcome::Unreached,
             Attempt::NotRun { .. } if reason == "link-busy" => Outcome::LinkBusy,
             Attempt::NotRun { .. } if reason == "held-back" => Outcome::HeldBack,
-            Attempt::NotRun { .. } if reason == "full" => Outcome::Full { told },
-            Attempt::NotRun { retry_after, .. } => Outcome::Refused { retry_after, told },
+            Attempt::NotRun { .. } if reason == "full" => Outcome::Full { report },
+            Attempt::NotRun { retry_after, .. } => Outcome::Refused { retry_after, report },
             Attempt::Unknown | Attempt::Answered => Outcome::Failed,
         });
         return Got::None(attempt, reason);
@@ -165,8 +169,8 @@
             let total = d.clock.now().saturating_duration_since(started);
             let service = service.unwrap_or(total);
             flight.end(match answer.is_failure() {
-                true => Outcome::Erred,
-                false => Outcome::Answered { service, total, told },
+                true => Outcome::ErrorAnswer,
+                false => Outcome::Answered { service, total, report },
             });
             let kind = KindKey(work.kind);
             let large = answer.is_large();
@@ -190,10 +194,11 @@
 }
 
 /// Reads what the exit daemon tells of its upstream.
-fn told(head: &HeaderMap) -> Told {
-    Told {
+fn report(head: &HeaderMap) -> LoadReport {
+    LoadReport {
         load: headers::number(head, call::LOAD).map(|load| load as u16),
-        accepts: headers::number(head, call::ACCEPTS).map(|share| share.min(1000) as f64 / 1e3),
+        accept_ratio: headers::number(head, call::ACCEPTS)
+            .map(|share| share.min(1000) as f64 / 1e3),
         next_token: headers::number(head, call::NEXT_TOKEN_MS).map(Duration::from_millis),
     }
 }
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -14,7 +14,7 @@
 use crate::daemon::{Daemon, quarantine};
 use crate::store::{Lease, Platform, PlatformError, Revision, Swap, keys};
 use cicadashift_core::request::spread;
-use cicadashift_core::request::suspects::{Review, Standing};
+use cicadashift_core::request::suspects::{QuarantineState, Review};
 use cicadashift_http::exec;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -62,9 +62,11 @@
         let now = d.clock.now();
         let is_overdue = doubted.is_some_and(|since| now >= last_look(work, since));
         let left = match quarantine::standing(d, work.digest) {
-            Standing::Quarantined { left } => left,
-            Standing::Suspected | Standing::Clear if is_overdue => return refused_for_now(d),
-            Standing::Suspected | Standing::Clear => return Permit::Sent,
+            QuarantineState::Quarantined { left } => left,
+            QuarantineState::Suspected | QuarantineState::Clear if is_overdue => {
+                return refused_for_now(d);
+            }
+            QuarantineState::Suspected | QuarantineState::Clear => return Permit::Sent,
         };
         let review = quarantine::review(d, work.digest);
         if review == Review::Certain {
@@ -121,7 +123,7 @@
     // The one before may have decided it.
     let is_doubtful = matches!(
         quarantine::standing(d, work.digest),
-        Standing::Quarantined { .. } if quarantine::review(d, work.digest) == Review::Doubtful
+        QuarantineState::Quarantined { .. } if quarantine::review(d, work.digest) == Review::Doubtful
     );
     if !is_doubtful {
         return None;
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -4,7 +4,7 @@
 use cicadashift_core::ids::HostKey;
 use cicadashift_core::membership::record::{Endpoint, Health, Readiness, Record};
 use cicadashift_core::request::choose::{
-    Choice, Demand, Known, Outcome, Picker, Place, Policy, UpstreamKey,
+    Choice, Demand, Locality, Outcome, Picker, Policy, UpstreamInfo, UpstreamKey,
 };
 use cicadashift_core::request::retry::{Allowance, Budget};
 use std::collections::HashMap;
@@ -37,9 +37,9 @@
     fn start(&mut self, choice: Choice, now: Instant) -> Target {
         let has_room = self.picker.has_room(choice.key, now);
         self.picker.started(choice.key);
-        let known = self.picker.known(choice.key);
-        let (host, place, instance) = (known.host, known.place, known.instance.clone());
-        Target { choice, host, place, instance, has_room, known: self.picker.len() }
+        let known = self.picker.info(choice.key);
+        let (host, locality, instance) = (known.host, known.locality, known.instance.clone());
+        Target { choice, host, locality, instance, has_room, known: self.picker.len() }
     }
 }
 
@@ -68,7 +68,7 @@
     /// The host whose daemon admits.
     pub host: HostKey,
     /// Where that is.
-    pub place: Place,
+    pub locality: Locality,
     /// The instance's name.
     pub instance: String,
     /// Whether it has a free slot, as far as is known.
@@ -87,7 +87,7 @@
     pub fn sync(&self, d: &Daemon) {
         let _turn = lock(&self.syncing);
         let now = d.clock.now();
-        let mut by_service: HashMap<String, Vec<Known>> = HashMap::new();
+        let mut by_service: HashMap<String, Vec<UpstreamInfo>> = HashMap::new();
         for record in d.members.all() {
             for (service, known) in known(d, &record) {
                 by_service.entry(service).or_default().push(known);
@@ -150,7 +150,7 @@
     ) -> Option<Target> {
         let chosen = self.with(name, |service| {
             let choice = service.picker.choose(demand, now, fastrand::u64(..), tried).ok()?;
-            let pays = service.picker.may_double(choice.key, now)
+            let pays = service.picker.may_hedge(choice.key, now)
                 && service.budget.spend(fastrand::u64(..));
             pays.then(|| service.start(choice, now))
         });
@@ -224,15 +224,15 @@
 ///
 /// A leaving or dead daemon's upstreams are left out at once: its host admits
 /// nothing more.
-fn known(d: &Daemon, record: &Record) -> Vec<(String, Known)> {
+fn known(d: &Daemon, record: &Record) -> Vec<(String, UpstreamInfo)> {
     if !matches!(record.health, Health::Alive | Health::Suspect) {
         return Vec::new();
     }
     let is_near = record.domain == d.settings.failure_domain;
-    let place = match (record.host == d.me, is_near) {
-        (true, _) => Place::Here,
-        (_, true) => Place::Near,
-        _ => Place::Far,
+    let locality = match (record.host == d.me, is_near) {
+        (true, _) => Locality::SameHost,
+        (_, true) => Locality::SameDomain,
+        _ => Locality::OtherDomain,
     };
     record
         .endpoints
@@ -241,13 +241,13 @@
             let Endpoint { service, version, instance, .. } = endpoint;
             let name = d.rollouts.lane_of(service, version, instance)?;
             let has_left = d.signals.has_left(record.host, instance);
-            let known = Known {
+            let known = UpstreamInfo {
                 host: record.host,
                 instance: endpoint.instance.clone(),
-                place,
+                locality,
                 slots: endpoint.slots,
                 readiness: if has_left { Readiness::Draining } else { endpoint.readiness },
-                doubted: record.health == Health::Suspect,
+                host_suspected: record.health == Health::Suspect,
             };
             Some((name, known))
         })
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -2,7 +2,7 @@
 
 use super::{Daemon, peers, quarantine as suspected};
 use cicadashift_core::membership::record::Record;
-use cicadashift_core::request::suspects::Standing;
+use cicadashift_core::request::suspects::QuarantineState;
 use cicadashift_http::exec;
 use cicadashift_wire::rpc::{Request as Ask, Response};
 use serde_json::{Value, json};
@@ -97,8 +97,8 @@
     let rows = suspected::all(d).into_iter().filter(|suspicion| suspicion.count() > 0);
     rows.map(|suspicion| {
         let left = match suspected::standing(d, suspicion.call) {
-            Standing::Quarantined { left } => Some(left.as_secs()),
-            Standing::Suspected | Standing::Clear => None,
+            QuarantineState::Quarantined { left } => Some(left.as_secs()),
+            QuarantineState::Suspected | QuarantineState::Clear => None,
         };
         json!({
             "call": suspicion.call.to_string(),
