--- a/crates/core/src/request/gate/mod.rs
+++ b/crates/core/src/request/gate/mod.rs
@@ -1,43 +1,42 @@
-//! Admission to one upstream, decided on its own host.
+//! Admission control of one upstream, on the upstream's own host.
 //!
-//! A [`Gate`] lets at most as many calls through as the upstream has slots and
-//! queues the rest for as long as each can still be answered within its
-//! objective. The length of the queue is not fixed: a call is queued if the work
-//! before it, at the observed time of each kind of call, leaves enough time.
-//! What does not fit is refused at once, so that its caller can do something
-//! else with the time, and so that the queue holds only what is worth most.
+//! A [`Gate`] runs at most as many calls as the upstream has slots and queues the rest
+//! while each can still be answered within its objective. The queue has no fixed length: a
+//! call is queued if the work before it, at the observed service time of each kind of
+//! call, leaves enough time. Any other call is refused at once, so that its caller can use
+//! the time otherwise and the queue holds only calls that can be answered in time.
 //!
 //! # Order
 //!
-//! More urgent calls go first, but one part in five of the work is for
-//! the least urgent rank that waits. Failure: urgent calls alone fill the upstream.
-//! Symptom: the others wait until their deadlines and none is served. It goes by work
-//! and not by turns: with one call of 240 ms for every four of 40 ms the less urgent
-//! ones would get 60 in 100 of the upstream.
+//! More urgent calls go first, but one part in five of the work is reserved for the least
+//! urgent priority that has queued calls. Otherwise urgent calls that fill the upstream
+//! would make all others wait until their deadlines. The share is measured in service time
+//! and not in calls: with one call of 240 ms for every four of 40 ms the less urgent calls
+//! would get 60 in 100 of the upstream's time.
 //!
-//! Within a rank the call whose objective ends first goes first, so that short calls
-//! which others wait for go before long ones, and a caller that was refused and came
-//! back before one that has just come. A caller's further calls count as if their
-//! objective ended later by the time of each that it has waiting, so that a busy caller
-//! cannot push back a quiet one.
+//! Within a priority the call whose objective ends first goes first. Short calls that other
+//! calls wait for thus go before long ones, and a retry of a refused call goes before a new
+//! call. For each call that a caller has queued, its next call is ordered as if its
+//! objective ended one mean service time later, so that a caller with many calls does not
+//! delay a caller with few.
 //!
 //! # Load patterns
 //!
-//! - More arrivals than slots for seconds: with the whole remaining time to wait
-//!   in, the queue grows until every answer is late; with the objective as the
-//!   bound the upstream answers as many, in time.
-//! - An upstream that is slower than the objective: nothing waits, but free slots
-//!   are used, since a late answer is better than none.
+//! - More arrivals than slots for seconds: if calls could wait until their deadlines, the
+//!   queue would grow until every answer is late. With the objective as the bound the
+//!   upstream answers as many calls, and in time.
+//! - An upstream that is slower than the objective: no call is queued, but free slots are
+//!   used, since a late answer is better than none.
 //!
 //! # An upstream that names a limit
 //!
-//! It is sent calls at that rate, whatever slots it has free; see [`pace`]. Calls wait for
-//! a token as they wait for a slot, in the same order.
+//! Calls are sent to such an upstream at the named rate, even if more slots are free; see
+//! [`pace`]. Calls wait for a token in the same queue and order as for a slot.
 //!
 //! # Limits
 //!
-//! The estimate is a mean. Under a service time with a heavy tail some queued
-//! calls run out of time; they are refused as not run as soon as that is seen.
+//! The estimated wait is based on mean service times. If service times have a heavy tail,
+//! some queued calls run out of time; these are refused as not run once the gate finds it.
 
 mod admit;
 pub mod pace;
@@ -52,63 +51,63 @@
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// Names one call at one gate.
+/// Identifies one call at one gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Names a caller for fairness.
+/// Identifies a caller, for fairness between callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CallerKey(pub u64);
 
-/// What a call brings to the gate.
+/// A call that arrives at the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When its answer is worthless.
+    /// When the caller stops waiting for the answer.
     pub deadline: Instant,
-    /// Until when its answer is worth most; at most the deadline.
+    /// End of the objective: until then an answer has its full worth. At most the deadline.
     pub objective: Instant,
-    /// From its route.
+    /// Priority of the call.
     pub priority: Priority,
-    /// Who asked.
+    /// The caller that sent the call.
     pub caller: CallerKey,
-    /// What kind of call it is; calls of one kind take about the same time.
+    /// Kind of the call; calls of one kind have similar service times.
     pub kind: KindKey,
-    /// How long it may be expected to wait here; a caller that can ask elsewhere gives
-    /// none.
+    /// Longest expected wait at which the call is queued. Zero if the entry daemon prefers to
+    /// try another upstream.
     pub max_wait: Duration,
 }
 
-/// Names a kind of call.
+/// Identifies a kind of call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KindKey(pub u64);
 
-/// The gate's answer to an arrival.
+/// Decision of the gate about an arriving call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Send it now.
+    /// Send the call now.
     Run(Ticket),
-    /// Hold it until a [`Wake`] names it.
+    /// Hold the call until a [`Wake`] carries its ticket.
     Wait(Ticket),
-    /// It did not run.
+    /// Refuse the call as not run.
     Refuse(Refusal),
 }
 
-/// News for a call that was told to wait.
+/// Decision of the gate about a queued call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    /// Send it now.
+    /// Send the call now.
     Run(Ticket),
-    /// It did not run.
+    /// Refuse the call as not run.
     Refuse(Ticket, Refusal),
 }
 
-/// How a call that ran ended.
+/// How a call that was sent to the upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// A whole answer after this time.
+    /// Completely answered, after this service time.
     Answered(Duration),
-    /// The upstream refused it before running it.
+    /// Refused by the upstream before it ran.
     Shed,
-    /// No whole answer.
+    /// Without a complete answer.
     Failed,
 }
--- a/crates/core/src/request/gate/refusal.rs
+++ b/crates/core/src/request/gate/refusal.rs
@@ -1,38 +1,38 @@
-//! Why a call is refused as not run, and when it may come back.
+//! Reasons for refusing a call as not run, and when the caller may retry.
 
 use crate::request::MIN_RETRY_AFTER;
 use std::fmt;
 use std::time::Duration;
 
-/// Why a call is refused as not run.
+/// Reason for refusing a call as not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The calls before it leave too little of its deadline.
+    /// The call would be answered after the end of its objective.
     Busy { retry_after: Duration },
-    /// It would wait longer than it was said to; there is time for it still.
+    /// The expected wait is longer than the call allows, although there is time for it.
     Full { retry_after: Duration },
-    /// The upstream named a limit, and no call may be sent to it in time.
+    /// The upstream's limit does not allow the call in time.
     OverLimit { retry_after: Duration },
-    /// Its deadline has passed.
+    /// The deadline has passed, or too little time is left before it.
     TooLate,
-    /// The upstream is leaving; other instances may serve.
+    /// The upstream is draining; other instances may serve the call.
     Draining,
     /// The upstream is not registered here.
     Gone,
     /// The queue is at [`MAX_QUEUE`].
     QueueFull { retry_after: Duration },
-    /// Its large answer would leave the host too late.
+    /// The large answer would be sent over the host's link too late.
     LinkBusy { retry_after: Duration },
-    /// It ends the upstreams that run it.
+    /// The call ends upstreams that run it.
     Quarantined { retry_after: Duration },
-    /// It may be the one that ended upstreams; somebody has to try it.
+    /// The call may have ended upstreams; a trial has to show whether it does.
     Disputed { retry_after: Duration },
-    /// Upstreams of another version are to serve it.
+    /// Upstreams of another version are to serve the call.
     HeldBack { retry_after: Duration },
 }
 
 impl Refusal {
-    /// Returns when to come back, as far as the gate can tell.
+    /// Returns the time after which the caller may retry, as estimated by the gate.
     pub fn retry_after(&self) -> Duration {
         match self {
             Refusal::Busy { retry_after }
--- a/crates/core/src/request/mod.rs
+++ b/crates/core/src/request/mod.rs
@@ -1,16 +1,16 @@
-//! Where a call goes, when it runs, and what its caller is told.
+//! Where a call is sent, when it runs, and what its caller is answered.
 //!
-//! Two daemons decide about a call. The *entry* daemon, where the caller is
-//! connected, chooses an upstream ([`choose`]) and decides about another
-//! attempt ([`retry`]). The *exit* daemon, on the upstream's host, admits it
-//! ([`gate`]): it alone sends to that upstream, so it counts slots exactly. Each has a
-//! [`link`] that its answers leave by.
+//! Two daemons decide about a call. The *entry* daemon, which the caller is connected to,
+//! chooses an upstream ([`choose`]) and decides about retries ([`retry`]). The *exit* daemon,
+//! on the upstream's host, admits the call ([`gate`]): no other daemon sends to that upstream,
+//! so it counts slots exactly. Both shape the answers that leave by their host's [`link`].
 //!
 //! # What "not run" means
 //!
-//! Only a daemon that knows that no byte of a call reached an upstream says
-//! "not run". Everything else that is not a whole answer is an unknown outcome,
-//! and a call that is not repeatable is never sent again after one.
+//! A daemon answers "not run" only if it is certain that the call did not run: no byte of it
+//! reached an upstream, or the upstream refused it unexecuted. Any other attempt without a
+//! complete answer has an unknown outcome, after which a call that is not repeatable is never
+//! sent again.
 
 pub mod choose;
 pub mod gate;
@@ -21,16 +21,16 @@
 
 use std::time::Duration;
 
-/// Shortest time a refused caller is told to wait.
+/// Shortest time until a retry that a refused caller is given.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Longest time a refused caller is told to wait.
+/// Longest time until a retry that a refused caller is given.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Spreads a time to come back over half to one and a half times its length.
+/// Adds jitter to a time until a retry: half to one and a half times its length.
 ///
-/// Failure: all callers refused in one moment come back in one moment. Symptom:
-/// the overload repeats at a regular beat. `random` is any number.
+/// Without jitter all callers refused at one moment would retry at one moment, and the
+/// overload would recur at regular intervals. `random` is a random number.
 pub fn jitter(wait: Duration, random: u64) -> Duration {
     let share = 0.5 + (random % 1024) as f64 / 1024.0;
     wait.mul_f64(share).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -1,29 +1,28 @@
-//! Whether a call may be sent again, and what its caller is told if not.
+//! Decides whether a call is retried, and otherwise what its caller is answered.
 
 use super::{MIN_RETRY_AFTER, jitter};
 use std::time::{Duration, Instant};
 
-/// Most times one call is sent to an upstream, the first included.
+/// Most attempts of one call that reach an upstream, the first included.
 pub const MAX_ATTEMPTS: u32 = 3;
-/// Most daemons asked for one call. After three refusals the service is full as far
-/// as anybody needs to know, and each further question takes time from daemons that
-/// have none.
-const MAX_ASKED: u32 = 3;
+/// Most daemons asked to run one call. After three refusals the service is most likely full,
+/// and each further request takes time from overloaded daemons.
+const MAX_DAEMONS_ASKED: u32 = 3;
 
-/// How one attempt ended, as far as the entry daemon knows.
+/// Outcome of one attempt, as far as the entry daemon can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Attempt {
-    /// A whole answer, whatever its status.
+    /// The answer is complete, whatever its status.
     Answered,
-    /// It certainly did not run. `arrived` tells whether an upstream saw it: that
-    /// costs the upstream something, a refusal by a daemon does not.
+    /// The call certainly did not run. `arrived` is set if it reached an upstream: that costs
+    /// the upstream some work, while a refusal by a daemon does not.
     NotRun { retry_after: Duration, arrived: bool },
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
 impl Attempt {
-    /// Makes the outcome of an attempt that reached nobody.
+    /// Returns the outcome of an attempt that reached no daemon.
     pub fn unreached() -> Attempt {
         Attempt::NotRun { retry_after: MIN_RETRY_AFTER, arrived: false }
     }
@@ -39,85 +38,85 @@
 pub enum RetryDecision {
     /// Pass the answer on.
     Answer,
-    /// Send it to another upstream.
+    /// Send the call to another upstream.
     Retry,
-    /// Tell the caller that it did not run, and when to come back.
+    /// Answer the caller that the call did not run and when to retry.
     Refuse { retry_after: Duration },
-    /// Tell the caller that it may have run.
+    /// Answer the caller that the call may have run.
     Unknown,
 }
 
-/// Retries that a service's calls may still use at one daemon.
+/// Retry budget of one service at one daemon.
 ///
-/// Failure: every call to a failing service is sent three times. Symptom: the
-/// service gets three times the load at the moment it can bear least. A budget
-/// that only first attempts fill keeps the extra load under a bound that the
-/// operators set for all daemons together.
+/// Without a budget every call to a failing service is sent three times, so that the service
+/// gets three times the load when it is least able to handle it. Only first attempts fill the
+/// budget, which keeps the additional load below a bound that the operators set for all
+/// daemons together.
 ///
 /// # Load pattern
 ///
-/// A service sheds half of its calls at every upstream, and hundreds of daemons send it a
-/// few calls a second each. What a daemon may save up is what its own first attempts
-/// earned lately, so that retries are where the calls are, and the sum stays in
-/// proportion to the calls of all daemons however many those are.
+/// A service sheds half of its calls at every upstream, and hundreds of daemons each send it
+/// a few calls a second. A daemon may save up the retries that its own first attempts earned
+/// recently. The retries are thus available where the calls enter, and their sum stays
+/// proportional to the calls of all daemons, whatever the number of daemons.
 ///
 /// # Less than one retry
 ///
-/// With many daemons each saves up less than one retry, and buckets that must hold a whole
-/// one would never give any. So a bucket with a part of a retry gives one with that chance
-/// and goes into debt, which is paid back by what is earned next: in the long run all
-/// daemons together give what they earn.
+/// With many daemons each saves up less than one retry, and a bucket that needs a whole token
+/// would never allow a retry. A bucket with part of a token therefore allows a retry with that
+/// probability and goes into debt, which the next earned tokens pay back. In the long run all
+/// daemons together allow as many retries as they earn.
 ///
 /// # Limits
 ///
-/// Each daemon may be in debt for less than one retry, so that in one moment all together
-/// may have given one a daemon more than they held. Where a daemon sends a call in several
-/// seconds only, part of what it earns is forgotten before it is used.
+/// Each daemon may be in debt by less than one retry, so all daemons together may at one moment
+/// exceed their budgets by one retry a daemon. If a daemon sends only one call in several
+/// seconds, part of the retries it earns expires unused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries that may be given; below zero is a debt.
+    /// Retries that may be made; negative while in debt.
     tokens: f64,
-    /// What first attempts earned lately.
-    recent: f64,
+    /// Retries earned by recent first attempts, with exponential decay.
+    recently_earned: f64,
     earned_at: Option<Instant>,
 }
 
-/// What fills a [`RetryBudget`].
+/// Refill and capacity of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Share of a retry that each first attempt earns.
+    /// Retries that each first attempt earns.
     pub earned_per_attempt: f64,
-    /// Most retries saved up beside those earned lately.
+    /// Most retries saved up in addition to those earned recently.
     pub max_saved: f64,
-    /// Time for which what was earned may be saved.
+    /// Time constant with which recently earned retries expire.
     pub saved_for: Duration,
 }
 
-/// Steps of the chance of a part of a retry.
-const CHANCES: u64 = 1024;
+/// Resolution of the probability with which part of a token allows a retry.
+const CHANCE_STEPS: u64 = 1024;
 
 impl RetryBudget {
-    /// Makes a budget with half of what may be saved.
+    /// Creates a budget that holds half of the retries that may be saved.
     pub fn new(allowance: Allowance) -> RetryBudget {
-        RetryBudget { tokens: allowance.max_saved / 2.0, recent: 0.0, earned_at: None }
+        RetryBudget { tokens: allowance.max_saved / 2.0, recently_earned: 0.0, earned_at: None }
     }
 
     /// Records a first attempt.
     pub fn earn(&mut self, allowance: Allowance, now: Instant) {
-        let passed = self.earned_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        let elapsed = self.earned_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         self.earned_at = Some(now);
-        let over = allowance.saved_for.as_secs_f64().max(f64::MIN_POSITIVE);
-        self.recent *= (-passed.as_secs_f64() / over).exp();
-        self.recent += allowance.earned_per_attempt;
-        self.tokens =
-            (self.tokens + allowance.earned_per_attempt).min(allowance.max_saved + self.recent);
+        let saved_for = allowance.saved_for.as_secs_f64().max(f64::MIN_POSITIVE);
+        self.recently_earned *= (-elapsed.as_secs_f64() / saved_for).exp();
+        self.recently_earned += allowance.earned_per_attempt;
+        self.tokens = (self.tokens + allowance.earned_per_attempt)
+            .min(allowance.max_saved + self.recently_earned);
     }
 
-    /// Takes a retry if there is one; `random` is any number.
+    /// Takes a retry from the budget, if it allows one; `random` is a random number.
     pub fn spend(&mut self, random: u64) -> bool {
-        // Never with a part that is no more than nothing, always with a whole one.
-        let least = (random % CHANCES + 1) as f64 / CHANCES as f64;
-        if self.tokens < least {
+        // With no tokens or a debt a retry is never allowed, with a whole token always.
+        let min_tokens = (random % CHANCE_STEPS + 1) as f64 / CHANCE_STEPS as f64;
+        if self.tokens < min_tokens {
             return false;
         }
         self.tokens -= 1.0;
@@ -125,28 +124,29 @@
     }
 }
 
-/// One call's attempts.
+/// Attempts of one call so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallState {
     /// Whether the configuration allows a second execution.
     pub repeatable: bool,
-    /// Whether the body can be sent again.
+    /// Whether the body is still held and can be sent again.
     pub replayable: bool,
-    /// Daemons asked.
+    /// Number of daemons asked to run the call.
     pub attempts: u32,
-    /// Attempts that reached an upstream, or may have.
+    /// Number of attempts that reached an upstream, or may have.
     pub arrivals: u32,
-    /// Attempts that calls above this one left to it.
+    /// Most attempts that may reach an upstream: the route's number, or what the calls above
+    /// this one leave of it.
     pub max_attempts: u32,
-    /// Whether an earlier attempt ended unknown.
+    /// Whether an earlier attempt had an unknown outcome.
     pub may_have_run: bool,
 }
 
 impl CallState {
-    /// Decides what follows an attempt.
+    /// Decides what to do after an attempt.
     ///
-    /// `left` is what remains of the deadline; `random` spreads the time to come
-    /// back. A retry is taken from the budget only when it is made.
+    /// `left` is the time left before the deadline; `random` adds jitter to the time until the
+    /// caller's retry. A retry is taken from the budget only if it is made.
     pub fn decide(
         &self,
         attempt: Attempt,
@@ -157,22 +157,21 @@
         match attempt {
             Attempt::Answered => RetryDecision::Answer,
             Attempt::NotRun { retry_after, arrived } => {
-                if self.may_repeat(left) && (!arrived || budget.spend(random)) {
+                if self.may_retry(left) && (!arrived || budget.spend(random)) {
                     return RetryDecision::Retry;
                 }
-                // Failure: the first attempt ran and its answer was lost, the
-                // second was refused. Symptom: the caller is told "not run" of
-                // what ran. The last attempt speaks only for itself.
+                // The refusal covers only the last attempt. If an earlier attempt ran and
+                // its answer was lost, "not run" would be wrong for the call.
                 if self.may_have_run {
                     return RetryDecision::Unknown;
                 }
                 RetryDecision::Refuse { retry_after: jitter(retry_after, random) }
             }
             Attempt::Unknown => {
-                // Failure: the answer is lost after the upstream ran the call.
-                // Symptom: a notice is published twice. Only what the
-                // configuration calls repeatable is sent again.
-                if self.repeatable && self.may_repeat(left) && budget.spend(random) {
+                // The upstream may have run the call although its answer was lost. A retry
+                // would then run it twice (a notice published twice, for example), so only
+                // calls that the configuration marks repeatable are sent again.
+                if self.repeatable && self.may_retry(left) && budget.spend(random) {
                     return RetryDecision::Retry;
                 }
                 RetryDecision::Unknown
@@ -180,8 +179,8 @@
         }
     }
 
-    fn may_repeat(&self, left: Duration) -> bool {
-        let room = self.arrivals < self.max_attempts && self.attempts < MAX_ASKED;
-        self.replayable && room && !left.is_zero()
+    fn may_retry(&self, left: Duration) -> bool {
+        let below_limits = self.arrivals < self.max_attempts && self.attempts < MAX_DAEMONS_ASKED;
+        self.replayable && below_limits && !left.is_zero()
     }
 }
--- a/crates/core/tests/held_back.rs
+++ b/crates/core/tests/held_back.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave a call to another version, as the choice takes that in.
+//! Choice among upstreams that hold a call back for another version.
 
 use cicadashift_core::config::Priority;
 use cicadashift_core::ids::HostKey;
@@ -24,8 +24,9 @@
 
 #[test]
 fn all_upstreams_that_hold_a_call_back_can_be_asked_again_at_once() {
-    // Guards against a refusal in the moment of a cutover: the one daemon knows of it, those
-    // beside the new upstreams do not yet, and after each was asked once nobody was left.
+    // Guards against a refusal at the moment of a cutover: one daemon has learned of it,
+    // the daemons of the new upstreams have not yet, and after each upstream was asked once no
+    // upstream was left to choose.
     let now = Instant::now();
     let demand = Demand {
         kind: KindKey::default(),
@@ -34,14 +35,14 @@
     };
     let told = Told { load: None, accepts: None, next_token: None };
     let refused = Outcome::Refused { retry_after: MIN_RETRY_AFTER, told };
-    for (outcome, is_left) in [(Outcome::HeldBack, true), (refused, false)] {
+    for (outcome, can_be_chosen) in [(Outcome::HeldBack, true), (refused, false)] {
         let mut picker = two_upstreams(now);
         for random in 0..2 {
-            let asked = picker.choose(demand, now, random, &[]).expect("one takes work");
+            let asked = picker.choose(demand, now, random, &[]).expect("an upstream takes calls");
             picker.started(asked.key);
             picker.ended(asked.key, demand, outcome, now);
         }
         let next = picker.choose(demand, now, 0, &[]);
-        assert_eq!(next.is_ok(), is_left, "{outcome:?}: {next:?}");
+        assert_eq!(next.is_ok(), can_be_chosen, "{outcome:?}: {next:?}");
     }
 }
--- a/crates/core/tests/named_limits.rs
+++ b/crates/core/tests/named_limits.rs
@@ -1,5 +1,5 @@
-//! Upstreams that name a limit, on a virtual clock: entry daemons that choose, gates that
-//! admit, and the way between them.
+//! Upstreams that name a limit, on a virtual clock: entry daemons that choose upstreams, gates
+//! that admit calls, and the network delay between them.
 
 use cicadashift_core::config::Priority;
 use cicadashift_core::ids::HostKey;
@@ -16,14 +16,14 @@
 use std::time::{Duration, Instant};
 
 const WINDOW: Duration = Duration::from_secs(4);
-/// One way between daemons.
-const WAY: Duration = Duration::from_millis(1);
-const WORK: Duration = Duration::from_millis(50);
+/// One-way network delay between daemons.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
+const SERVICE_TIME: Duration = Duration::from_millis(50);
 const OBJECTIVE: Duration = Duration::from_millis(400);
 const SLOTS: u16 = 9;
 const KIND: KindKey = KindKey(1);
-/// Daemons that a call asks at most.
-const ASKED_MOST: usize = 3;
+/// Most daemons asked to run one call.
+const MAX_ASKED: usize = 3;
 
 fn limit(per_s: f64) -> NamedLimit {
     NamedLimit::parse(&per_s.to_string()).expect("a number of calls")
@@ -33,13 +33,13 @@
 enum Event {
     Call(usize),
     Arrive(usize),
-    Look(usize),
+    Tick(usize),
     End(usize, Ticket),
-    Back(usize),
+    Reply(usize),
 }
 
 #[derive(Clone)]
-struct Try {
+struct Attempt {
     daemon: usize,
     upstream: usize,
     tried: Vec<UpstreamKey>,
@@ -60,14 +60,14 @@
     start: Instant,
     now: Instant,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
-    number: u64,
+    event_number: u64,
     pickers: Vec<Picker>,
     upstreams: Vec<Upstream>,
-    tries: Vec<Try>,
+    attempts: Vec<Attempt>,
     served: usize,
     refused: usize,
-    /// Times that a daemon was asked for nothing.
-    asked_in_vain: usize,
+    /// Attempts that an exit daemon refused.
+    refused_attempts: usize,
     rng: fastrand::Rng,
 }
 
@@ -98,29 +98,29 @@
             start,
             now: start,
             events: BinaryHeap::new(),
-            number: 0,
+            event_number: 0,
             pickers: (0..daemons).map(picker).collect(),
             upstreams: limits.iter().map(upstream).collect(),
-            tries: Vec::new(),
+            attempts: Vec::new(),
             served: 0,
             refused: 0,
-            asked_in_vain: 0,
+            refused_attempts: 0,
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    fn at(&mut self, time: Instant, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((time, self.number, event)));
+    fn schedule(&mut self, time: Instant, event: Event) {
+        self.event_number += 1;
+        self.events.push(Reverse((time, self.event_number, event)));
     }
 
-    /// Lets `rate` calls a second come to all daemons for a time.
+    /// Sends `rate` calls a second to all daemons together for `time`.
     fn run(&mut self, time: Duration, rate: f64) {
         let until = self.now + time;
         let mut next = self.now;
         while next < until {
             let daemon = self.rng.usize(0..self.pickers.len());
-            self.at(next, Event::Call(daemon));
+            self.schedule(next, Event::Call(daemon));
             next += Duration::from_secs_f64(-(1.0 - self.rng.f64()).ln() / rate);
         }
         while let Some(Reverse((at, _, event))) = self.events.pop() {
@@ -135,9 +135,9 @@
                     self.choose(daemon, Vec::new(), due);
                 }
                 Event::Arrive(attempt) => self.arrive(attempt),
-                Event::Look(upstream) => self.look(upstream),
+                Event::Tick(upstream) => self.tick(upstream),
                 Event::End(upstream, ticket) => self.end(upstream, ticket),
-                Event::Back(attempt) => self.back(attempt),
+                Event::Reply(attempt) => self.receive_result(attempt),
             }
         }
         self.now = until;
@@ -151,7 +151,7 @@
     fn choose(&mut self, daemon: usize, mut tried: Vec<UpstreamKey>, due: Instant) {
         let demand = self.demand(due);
         let random = self.rng.u64(..);
-        let chosen = match tried.len() < ASKED_MOST {
+        let chosen = match tried.len() < MAX_ASKED {
             true => self.pickers[daemon].choose(demand, self.now, random, &tried),
             false => Err(Duration::ZERO),
         };
@@ -162,14 +162,14 @@
         self.pickers[daemon].started(choice.key);
         tried.push(choice.key);
         let upstream = choice.key.0 as usize;
-        let attempt = Try { daemon, upstream, tried, due, ticket: None, outcome: None };
-        self.tries.push(attempt);
-        let attempt = self.tries.len() - 1;
-        self.at(self.now + WAY, Event::Arrive(attempt));
+        let attempt = Attempt { daemon, upstream, tried, due, ticket: None, outcome: None };
+        self.attempts.push(attempt);
+        let attempt = self.attempts.len() - 1;
+        self.schedule(self.now + ONE_WAY_DELAY, Event::Arrive(attempt));
     }
 
     fn arrive(&mut self, attempt: usize) {
-        let Try { upstream, due, .. } = self.tries[attempt];
+        let Attempt { upstream, due, .. } = self.attempts[attempt];
         let arrival = Arrival {
             deadline: due + OBJECTIVE,
             objective: due,
@@ -183,25 +183,25 @@
             Admission::Run(ticket) => self.begin(upstream, ticket, attempt),
             Admission::Wait(ticket) => {
                 self.upstreams[upstream].waiting.insert(ticket, attempt);
-                self.look_later(upstream);
+                self.schedule_tick(upstream);
             }
             Admission::Refuse(refusal) => self.refuse(attempt, refusal),
         }
     }
 
     fn begin(&mut self, upstream: usize, ticket: Ticket, attempt: usize) {
-        self.tries[attempt].ticket = Some(ticket);
+        self.attempts[attempt].ticket = Some(ticket);
         self.upstreams[upstream].running.insert(ticket, attempt);
         self.upstreams[upstream].sent.push(self.now);
-        let work = WORK.mul_f64(0.5 + self.rng.f64());
-        self.at(self.now + work, Event::End(upstream, ticket));
+        let service_time = SERVICE_TIME.mul_f64(0.5 + self.rng.f64());
+        self.schedule(self.now + service_time, Event::End(upstream, ticket));
     }
 
     fn refuse(&mut self, attempt: usize, refusal: Refusal) {
-        let told = self.told(self.tries[attempt].upstream);
+        let told = self.told(self.attempts[attempt].upstream);
         let retry_after = refusal.retry_after();
-        self.tries[attempt].outcome = Some(Outcome::Refused { retry_after, told });
-        self.at(self.now + WAY, Event::Back(attempt));
+        self.attempts[attempt].outcome = Some(Outcome::Refused { retry_after, told });
+        self.schedule(self.now + ONE_WAY_DELAY, Event::Reply(attempt));
     }
 
     fn told(&mut self, upstream: usize) -> Told {
@@ -213,18 +213,18 @@
         }
     }
 
-    fn look_later(&mut self, upstream: usize) {
+    fn schedule_tick(&mut self, upstream: usize) {
         let gate = &self.upstreams[upstream].gate;
         if let Some(wait) = gate.next_token(self.now).filter(|wait| !wait.is_zero()) {
-            self.at(self.now + wait + Duration::from_micros(200), Event::Look(upstream));
+            self.schedule(self.now + wait + Duration::from_micros(200), Event::Tick(upstream));
         }
     }
 
-    fn look(&mut self, upstream: usize) {
+    fn tick(&mut self, upstream: usize) {
         let wakes = self.upstreams[upstream].gate.tick(self.now);
         self.wake(upstream, wakes);
         if !self.upstreams[upstream].waiting.is_empty() {
-            self.look_later(upstream);
+            self.schedule_tick(upstream);
         }
     }
 
@@ -233,46 +233,49 @@
             match wake {
                 Wake::Run(ticket) => {
                     let attempt = self.upstreams[upstream].waiting.remove(&ticket);
-                    self.begin(upstream, ticket, attempt.expect("it waits"));
+                    self.begin(upstream, ticket, attempt.expect("the call waits"));
                 }
                 Wake::Refuse(ticket, refusal) => {
                     let attempt = self.upstreams[upstream].waiting.remove(&ticket);
-                    self.refuse(attempt.expect("it waits"), refusal);
+                    self.refuse(attempt.expect("the call waits"), refusal);
                 }
             }
         }
     }
 
     fn end(&mut self, upstream: usize, ticket: Ticket) {
-        let attempt = self.upstreams[upstream].running.remove(&ticket).expect("it runs");
+        let attempt = self.upstreams[upstream].running.remove(&ticket).expect("the call runs");
         let (now, named) = (self.now, self.upstreams[upstream].limit);
         let gate = &mut self.upstreams[upstream].gate;
-        let _change = gate.observe_limit(named, now - WORK, now);
-        let wakes = gate.ended(ticket, End::Answered(WORK), now);
+        let _change = gate.observe_limit(named, now - SERVICE_TIME, now);
+        let wakes = gate.ended(ticket, End::Answered(SERVICE_TIME), now);
         self.wake(upstream, wakes);
         let told = self.told(upstream);
-        let outcome = Outcome::Answered { service: WORK, total: WORK + WAY * 2, told };
-        self.tries[attempt].outcome = Some(outcome);
-        self.at(now + WAY, Event::Back(attempt));
+        let outcome = Outcome::Answered {
+            service: SERVICE_TIME,
+            total: SERVICE_TIME + ONE_WAY_DELAY * 2,
+            told,
+        };
+        self.attempts[attempt].outcome = Some(outcome);
+        self.schedule(now + ONE_WAY_DELAY, Event::Reply(attempt));
     }
 
-    fn back(&mut self, attempt: usize) {
-        let Try { daemon, tried, due, outcome, .. } = self.tries[attempt].clone();
-        let outcome = outcome.expect("it is answered");
-        let key = *tried.last().expect("one was asked");
+    fn receive_result(&mut self, attempt: usize) {
+        let Attempt { daemon, tried, due, outcome, .. } = self.attempts[attempt].clone();
+        let outcome = outcome.expect("the attempt has an outcome");
+        let key = *tried.last().expect("an upstream was asked");
         let demand = self.demand(due);
         self.pickers[daemon].ended(key, demand, outcome, self.now);
         if matches!(outcome, Outcome::Answered { .. }) {
             self.served += 1;
             return;
         }
-        self.asked_in_vain += 1;
+        self.refused_attempts += 1;
         self.choose(daemon, tried, due);
     }
 
-    /// Returns most calls sent in one window, of those sent later than a second after the
-    /// start.
-    fn most(&self, upstream: usize) -> usize {
+    /// Returns the most calls sent in any one window, without those of the first second.
+    fn max_sent_in_window(&self, upstream: usize) -> usize {
         let from = self.start + Duration::from_secs(1);
         let sent: Vec<_> = self.upstreams[upstream].sent.iter().filter(|at| **at > from).collect();
         let counted = |(i, end): (usize, &&Instant)| {
@@ -284,35 +287,37 @@
 
 #[test]
 fn the_named_rate_is_kept_and_used_by_any_number_of_daemons() {
-    // Guards against limits that are divided by the daemons, or kept by each of them.
+    // Guards against a limit that is divided by the number of daemons, or that each daemon
+    // enforces on its own.
     let mut out = String::new();
     for (daemons, seeds) in [(3, 30), (9, 30), (100, 3), (986, 1)] {
         for named in [1.0, 4.2, 50.0] {
-            let (mut over, mut unused, mut refused, mut in_vain) = (0.0_f64, 0.0_f64, 0, 0.0_f64);
+            let (mut over, mut unused, mut refused, mut refused_per_s) =
+                (0.0_f64, 0.0_f64, 0, 0.0_f64);
             for seed in 0..seeds {
                 let limits = [Some(named), Some(named), None, None];
                 let mut mesh = Mesh::new(daemons, &limits, seed);
-                // Two without a limit run 360 a second together.
+                // The two upstreams without a limit run 360 calls a second together.
                 let rate = 150.0;
                 mesh.run(Duration::from_secs(13), rate);
                 for limited in [0, 1] {
                     let allowed = named * WINDOW.as_secs_f64();
-                    over = over.max(mesh.most(limited) as f64 - allowed);
+                    over = over.max(mesh.max_sent_in_window(limited) as f64 - allowed);
                 }
                 refused += mesh.refused;
-                in_vain = in_vain.max(mesh.asked_in_vain as f64 / 13.0);
+                refused_per_s = refused_per_s.max(mesh.refused_attempts as f64 / 13.0);
 
                 let mut mesh = Mesh::new(daemons, &[Some(named); 3], seed);
                 mesh.run(Duration::from_secs(13), named * 30.0);
                 let sent: usize = mesh.upstreams.iter().map(|upstream| upstream.sent.len()).sum();
                 let full = 3.0 * named * 12.0;
                 unused += (1.0 - sent as f64 / full) / seeds as f64;
-                over = over.max(mesh.most(0) as f64 - named * WINDOW.as_secs_f64());
+                over = over.max(mesh.max_sent_in_window(0) as f64 - named * WINDOW.as_secs_f64());
             }
             out += &format!(
                 "{daemons} daemons, {named} a second: {over:.1} calls over in 4 s, \
                  {:.0} in 100 unused, {refused} refused beside room, \
-                 {in_vain:.0} questions a second in vain\n",
+                 {refused_per_s:.0} questions a second in vain\n",
                 unused.max(0.0) * 100.0
             );
             assert!(over <= named * WINDOW.as_secs_f64() * 0.5 + 5.0, "{out}");
@@ -323,15 +328,19 @@
 }
 
 #[test]
-fn signals_that_cross_or_cannot_be_read_change_nothing() {
-    // Guards against a limit that an older answer takes back, and numbers that are none.
+fn overtaken_answers_and_malformed_limits_are_ignored() {
+    // Guards against an older answer that lifts a newer limit, and against limits that are not
+    // numbers of calls.
     let now = Instant::now();
     let later = now + Duration::from_millis(100);
     let mut pace = Pace::default();
-    let four = limit(4.0);
-    assert_eq!(pace.observe_limit(Some(four), now, now), Some(LimitChange::Named(four)));
-    assert_eq!(pace.observe_limit(None, now - WORK, later), None);
-    assert_eq!(pace.limit(), Some(four));
+    let limit_of_four = limit(4.0);
+    assert_eq!(
+        pace.observe_limit(Some(limit_of_four), now, now),
+        Some(LimitChange::Named(limit_of_four))
+    );
+    assert_eq!(pace.observe_limit(None, now - SERVICE_TIME, later), None);
+    assert_eq!(pace.limit(), Some(limit_of_four));
     assert_eq!(pace.observe_limit(None, later, later), Some(LimitChange::Lifted));
     for text in ["", "-1", "NaN", "inf", "4,2", "four", "1 2"] {
         assert_eq!(NamedLimit::parse(text), None, "{text}");
@@ -342,8 +351,9 @@
 }
 
 #[test]
-fn a_daemon_that_starts_again_adopts_the_limit_of_others_until_it_is_answered() {
-    // Guards against a limit that others told of and that outlasts the upstream's own signal.
+fn a_restarted_daemon_adopts_the_limit_of_others_until_the_upstream_answers_it() {
+    // Guards against a limit adopted from other daemons that outlasts the upstream's own
+    // answers.
     let now = Instant::now();
     let mut pace = Pace::default();
     assert!(pace.adopt_limit(limit(1.0), now));
@@ -355,8 +365,8 @@
 }
 
 #[test]
-fn a_lowered_limit_takes_nothing_along() {
-    // Guards against tokens saved up under the higher limit.
+fn a_lowered_limit_drops_saved_tokens() {
+    // Guards against tokens that were saved up under the higher limit.
     let now = Instant::now();
     let mut pace = Pace::default();
     pace.observe_limit(Some(limit(200.0)), now, now);
--- a/crates/core/tests/returning.rs
+++ b/crates/core/tests/returning.rs
@@ -1,4 +1,4 @@
-//! Recognizing callers that come back after a refusal.
+//! Recognizing retries of refused calls by their deadlines.
 
 use cicadashift_core::request::gate::KindKey;
 use cicadashift_core::request::returning::{DEADLINE_TOLERANCE, ReturningCallers};
@@ -11,33 +11,40 @@
     Duration::from_millis(ms)
 }
 
-// A caller with 2.3 s is refused, comes back 180 ms later with 2.12 s left, is refused
-// again and comes back once more. Each time it is known since when it waits; another
-// caller with the same time left at another moment is not taken for it.
+// A call with 2.3 s left is refused, retried 180 ms later with 2.12 s left, refused again and
+// retried once more. Each retry is matched to the first arrival; a call with the same time
+// left that arrives at another moment is not.
 #[test]
-fn a_caller_is_known_by_the_moment_until_which_it_waits() {
+fn a_retry_is_recognized_by_its_deadline() {
     let start = Instant::now();
     let mut returning = ReturningCallers::default();
-    let until = start + ms(2300);
-    assert_eq!(returning.take_first_arrival(LOOKUP, until), None);
-    returning.record_unanswered(LOOKUP, start, until, start + ms(2));
+    let deadline = start + ms(2300);
+    assert_eq!(returning.take_first_arrival(LOOKUP, deadline), None);
+    returning.record_unanswered(LOOKUP, start, deadline, start + ms(2));
 
-    let stranger = start + ms(90) + ms(2120);
-    assert_eq!(returning.take_first_arrival(LOOKUP, stranger), None);
-    let again = start + ms(181) + ms(2120);
-    assert_eq!(returning.take_first_arrival(PAYMENT, again), None, "a call of another kind");
-    assert_eq!(returning.take_first_arrival(LOOKUP, again), Some(start));
-    assert_eq!(returning.take_first_arrival(LOOKUP, again), None, "each is found once");
+    let other_deadline = start + ms(90) + ms(2120);
+    assert_eq!(returning.take_first_arrival(LOOKUP, other_deadline), None);
+    let retry_deadline = start + ms(181) + ms(2120);
+    assert_eq!(
+        returning.take_first_arrival(PAYMENT, retry_deadline),
+        None,
+        "a call of another kind"
+    );
+    assert_eq!(returning.take_first_arrival(LOOKUP, retry_deadline), Some(start));
+    assert_eq!(
+        returning.take_first_arrival(LOOKUP, retry_deadline),
+        None,
+        "a recorded call is matched once"
+    );
 
-    returning.record_unanswered(LOOKUP, start, again, start + ms(183));
-    let third = start + ms(520) + ms(1780);
-    assert_eq!(returning.take_first_arrival(LOOKUP, third), Some(start));
+    returning.record_unanswered(LOOKUP, start, retry_deadline, start + ms(183));
+    let third_deadline = start + ms(520) + ms(1780);
+    assert_eq!(returning.take_first_arrival(LOOKUP, third_deadline), Some(start));
 }
 
-// Two callers wait until nearly the same moment. Whoever comes back is taken for the
-// nearer one.
+// Two callers have nearly the same deadline. A retry is matched to the nearer one.
 #[test]
-fn the_nearest_moment_is_taken() {
+fn the_nearest_deadline_is_taken() {
     let start = Instant::now();
     let mut returning = ReturningCallers::default();
     returning.record_unanswered(LOOKUP, start, start + ms(1000), start);
@@ -47,26 +54,27 @@
     assert_eq!(returning.take_first_arrival(LOOKUP, start + ms(1002) + DEADLINE_TOLERANCE), None);
 }
 
-// A flood of refusals: what is remembered stays bounded, and is forgotten once the
-// callers' time is over, so that later ones are known again.
+// After many refusals the number of recorded calls stays bounded, and calls whose deadlines
+// have passed are removed, so that later calls are recorded again.
 #[test]
-fn a_flood_of_refusals_is_remembered_in_part() {
+fn the_number_of_recorded_refusals_is_bounded() {
     let start = Instant::now();
     let mut returning = ReturningCallers::default();
-    let until = |i: u64| start + ms(1000) + Duration::from_micros(10 * i);
+    let deadline = |i: u64| start + ms(1000) + Duration::from_micros(10 * i);
     for i in 0..20_000 {
-        returning.record_unanswered(LOOKUP, start, until(i), start);
+        returning.record_unanswered(LOOKUP, start, deadline(i), start);
     }
-    let known =
-        (0..20_000).filter(|i| returning.take_first_arrival(LOOKUP, until(*i)).is_some()).count();
+    let recognized = (0..20_000)
+        .filter(|i| returning.take_first_arrival(LOOKUP, deadline(*i)).is_some())
+        .count();
     for i in 0..20_000 {
-        returning.record_unanswered(LOOKUP, start, until(i), start);
+        returning.record_unanswered(LOOKUP, start, deadline(i), start);
     }
     let later = start + ms(5000);
     returning.record_unanswered(PAYMENT, later, later + ms(700), later);
     let payment = returning.take_first_arrival(PAYMENT, later + ms(700));
     insta::assert_snapshot!(
-        format!("{known} known; later one known: {}", payment == Some(later)),
+        format!("{recognized} known; later one known: {}", payment == Some(later)),
         @"4096 known; later one known: true"
     );
 }
--- a/crates/core/tests/scenarios/requests.rs
+++ b/crates/core/tests/scenarios/requests.rs
@@ -1,4 +1,5 @@
-//! One gate, one picker and one call's retries, on a virtual clock.
+//! Scenario steps for one gate, one picker, one link and one call's retries, on a virtual
+//! clock.
 
 use super::{arg, list, number};
 use cicadashift_core::config::Priority;
@@ -29,12 +30,12 @@
     large: Vec<Large>,
 }
 
-/// A large answer on its way over the link.
+/// A large answer that is being sent over the link.
 struct Large {
     name: String,
-    turn: TransferId,
+    transfer_id: TransferId,
     left: u64,
-    asks_at_ms: u64,
+    next_request_ms: u64,
 }
 
 impl Default for World {
@@ -62,12 +63,12 @@
         "leave" => world.leave(case),
         "drain" => {
             let wakes = world.gate.drain();
-            world.tell(wakes)
+            world.report(wakes)
         }
         "wait" => {
             world.now_ms += number(case, "ms", 0);
             let wakes = world.gate.tick(world.now());
-            world.tell(wakes)
+            world.report(wakes)
         }
         "upstreams" => world.upstreams(case),
         "choose" => world.choose(case),
@@ -117,44 +118,44 @@
     fn join_link(&mut self, case: &TestCase) -> String {
         for name in list(case, "answer") {
             let left = number(case, "bytes", 90_000);
-            let turn = self.link.start_transfer(left, self.now());
-            self.large.push(Large { name, turn, left, asks_at_ms: self.now_ms });
+            let transfer_id = self.link.start_transfer(left, self.now());
+            self.large.push(Large { name, transfer_id, left, next_request_ms: self.now_ms });
         }
-        self.tell_backlog()
+        self.describe_backlog()
     }
 
-    /// Hands a small answer over and says when its last byte has left.
+    /// Sends a small answer and returns when its last byte has left.
     fn send_small(&mut self, case: &TestCase) -> String {
         let before = self.link.busy_for(self.now());
         let bytes = number(case, "bytes", 1000);
         self.link.record_sent(bytes, self.now());
-        let behind = (before + self.link.transmission_time(bytes)).as_millis();
-        format!("has left after {behind} ms\n")
+        let sent_after = (before + self.link.transmission_time(bytes)).as_millis();
+        format!("has left after {sent_after} ms\n")
     }
 
-    /// Lets the large answers ask for their pieces as they are told to.
+    /// Advances the clock and lets the large answers request their pieces when due.
     fn play(&mut self, case: &TestCase) -> String {
         let mut out = String::new();
         for _ in 0..number(case, "ms", 0) {
             let now = self.now();
             for large in &mut self.large {
-                if large.asks_at_ms > self.now_ms {
+                if large.next_request_ms > self.now_ms {
                     continue;
                 }
                 let piece = large.left.min(self.link.piece() as u64);
-                match self.link.request_piece(large.turn, piece, now) {
+                match self.link.request_piece(large.transfer_id, piece, now) {
                     Ok(()) => large.left -= piece,
-                    Err(wait) => large.asks_at_ms = self.now_ms + wait.as_millis() as u64,
+                    Err(wait) => large.next_request_ms = self.now_ms + wait.as_millis() as u64,
                 }
                 if large.left == 0 {
-                    self.link.end_transfer(large.turn);
+                    self.link.end_transfer(large.transfer_id);
                     out.push_str(&format!("{} is sent at {} ms\n", large.name, self.now_ms));
                 }
             }
             self.large.retain(|large| large.left > 0);
             self.now_ms += 1;
         }
-        out + &self.tell_backlog()
+        out + &self.describe_backlog()
     }
 
     fn room(&mut self, case: &TestCase) -> String {
@@ -171,7 +172,7 @@
         }
     }
 
-    fn tell_backlog(&self) -> String {
+    fn describe_backlog(&self) -> String {
         let backlog = self.link.backlog(self.now()).as_millis();
         format!("at {} ms: backlog {backlog} ms\n", self.now_ms)
     }
@@ -217,7 +218,7 @@
                 }
             });
         }
-        out + &self.load()
+        out + &self.describe_load()
     }
 
     fn end(&mut self, case: &TestCase) -> String {
@@ -231,26 +232,26 @@
         for name in list(case, "call") {
             let Some(ticket) = self.ticket(&name) else { return format!("no call {name}\n") };
             let wakes = self.gate.ended(ticket, end, self.now());
-            out.push_str(&self.told(wakes));
+            out.push_str(&self.describe_wakes(wakes));
         }
-        out + &self.load()
+        out + &self.describe_load()
     }
 
     fn leave(&mut self, case: &TestCase) -> String {
         let Some(ticket) = self.ticket(arg(case, "call", "")) else { return String::new() };
         self.gate.cancel(ticket);
-        self.load()
+        self.describe_load()
     }
 
     fn ticket(&self, name: &str) -> Option<Ticket> {
-        self.names.iter().find(|(_, held)| *held == name).map(|(ticket, _)| *ticket)
+        self.names.iter().find(|(_, known_name)| *known_name == name).map(|(ticket, _)| *ticket)
     }
 
-    fn tell(&mut self, wakes: Vec<Wake>) -> String {
-        self.told(wakes) + &self.load()
+    fn report(&mut self, wakes: Vec<Wake>) -> String {
+        self.describe_wakes(wakes) + &self.describe_load()
     }
 
-    fn told(&self, wakes: Vec<Wake>) -> String {
+    fn describe_wakes(&self, wakes: Vec<Wake>) -> String {
         let mut lines: Vec<String> = wakes
             .into_iter()
             .map(|wake| match wake {
@@ -266,7 +267,7 @@
         lines.concat()
     }
 
-    fn load(&self) -> String {
+    fn describe_load(&self) -> String {
         let (running, queued) = (self.gate.running(), self.gate.queued());
         format!("at {} ms: {running} of {} run, {queued} wait\n", self.now_ms, self.gate.limit())
     }
@@ -297,7 +298,7 @@
         format!("{} take work\n", self.picker.len())
     }
 
-    /// Chooses several times and counts; each choice starts a call unless `dry`.
+    /// Chooses several times and counts the choices; each starts a call unless `dry` is set.
     fn choose(&mut self, case: &TestCase) -> String {
         let tried: Vec<UpstreamKey> =
             list(case, "tried").iter().filter_map(|name| self.key(name)).collect();
@@ -351,7 +352,7 @@
         String::new()
     }
 
-    /// Tells how long a large answer would take to leave the hosts of upstreams.
+    /// Reports to the picker how long a large answer would take to leave the upstreams' hosts.
     fn link_hint(&mut self, case: &TestCase) -> String {
         self.picker.set_large(demand(case).kind, true);
         let wait = Duration::from_millis(number(case, "ms", 0));
