--- a/crates/core/src/request/choose/kinds.rs
+++ b/crates/core/src/request/choose/kinds.rs
@@ -1,24 +1,25 @@
-//! How long the calls of one kind take.
+//! Statistics of the calls of one kind.
 
 /// Weight of a new observation in a kind's mean and deviation.
 const MEAN_SMOOTHING: f64 = 0.03;
 
-/// How long calls of one kind take, over all upstreams, in milliseconds.
+/// Times of the calls of one kind over all upstreams, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Spread {
+pub struct KindStats {
     /// Mean time at the upstream.
     pub service: f64,
-    /// Mean time from here to there and back, with what was waited.
+    /// Mean time of an attempt as this daemon sees it, with the round trip and the wait for
+    /// a slot.
     pub total: f64,
-    /// Mean deviation of that.
+    /// Mean absolute deviation of the total time.
     pub deviation: f64,
-    /// Whether the answers are so large that the link of the upstream's host
-    /// counts.
+    /// Whether answers are so large that the load of the link of the upstream's host is
+    /// part of the cost.
     pub large: bool,
 }
 
-impl Spread {
-    /// Takes in one call.
+impl KindStats {
+    /// Adds the times of one call.
     pub fn observe(&mut self, service: f64, total: f64) {
         self.service += MEAN_SMOOTHING * (service - self.service);
         let error = total - self.total;
--- a/crates/core/src/request/choose/mod.rs
+++ b/crates/core/src/request/choose/mod.rs
@@ -1,24 +1,24 @@
-//! Which upstream an entry daemon sends a call to.
+//! Load balancing: which upstream an entry daemon sends a call to.
 //!
-//! Each service has a [`Picker`]. It compares a few candidates of the own failure
-//! domain by the time in which the call would be answered there, and looks at
-//! other domains when the best of them cannot answer within the call's objective
-//! or has no free slot. A few, from a random place on, keep load even and, unlike
-//! the best of all, do not send every entry daemon to the same upstream on the
-//! same stale hint. Two are too few where several of four are cold: both are then
-//! bad too often. `docs/DESIGN.md`, "Choice", has the table.
+//! Each service has a [`Picker`]. It compares a few candidates of its own failure domain
+//! by the expected time of the call, and considers other domains when the best candidate
+//! cannot answer within the call's objective or has no free slot. Sampling a few
+//! candidates from a random index on spreads load evenly; comparing all of them would
+//! send every entry daemon to the same upstream on the same stale load hint. Two
+//! candidates are too few where several of four upstreams are cold: too often both are.
+//! `docs/DESIGN.md`, "Choice", has the table.
 //!
-//! Upstreams of one service differ in speed, and kinds of calls in length. The
-//! expected time is the kind's mean over the service times the upstream's speed,
-//! so that what one kind of call taught about an upstream holds for the others.
+//! Upstreams of one service differ in speed, and kinds of calls in length. The expected
+//! time is the mean of the kind over the service, multiplied by the relative time of the
+//! upstream, so that observations from one kind of call apply to the others.
 //!
-//! What was observed outranks what was claimed: an upstream's reported load is
-//! used only while it is fresh, and its reported health never at all.
+//! Observations take precedence over reports: an upstream's reported load is used only
+//! while it is fresh, and its reported health is never used.
 //!
 //! # Limits
 //!
-//! Entry daemons do not know of each other's calls until an answer brings the
-//! upstream's load. The exit daemon's gate makes up for that.
+//! An entry daemon learns of the calls of other entry daemons only from the load report in
+//! an answer. The admission control of the exit daemon compensates for that.
 
 mod cost;
 mod kinds;
@@ -36,110 +36,115 @@
 use crate::membership::record::Readiness;
 use std::time::Duration;
 
-/// One way to another failure domain and back.
+/// Round-trip time to another failure domain.
 pub const CROSS_DOMAIN_RTT: Duration = Duration::from_millis(3);
 
-/// Position of an upstream in its [`Picker`]'s arena; used again only after the
+/// Index of an upstream in the arena of its [`Picker`]. It is reused only after the
 /// upstream has left and its last call has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamKey(pub u32);
 
-/// Where an upstream is, as seen from an entry daemon.
+/// Distance of an upstream from the entry daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Locality {
-    /// On the same host: no hop, and its answers leave by the same link as any.
+    /// On the same host: no network hop, and answers use this host's link as those of any
+    /// upstream do.
     SameHost,
-    /// On another host of the failure domain.
+    /// On another host of the same failure domain.
     SameDomain,
     /// In another failure domain.
     OtherDomain,
 }
 
-/// What membership says of an upstream.
+/// An upstream as membership describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamInfo {
-    /// The host whose daemon admits to it.
+    /// The host of the upstream, whose daemon admits calls to it.
     pub host: HostKey,
     /// The instance's name.
     pub instance: String,
-    /// Where it is, as seen from the entry daemon.
+    /// Distance from the entry daemon.
     pub locality: Locality,
-    /// Calls it runs at once.
+    /// Number of calls that it runs at once.
     pub slots: u16,
-    /// Whether it takes work.
+    /// Whether it accepts calls.
     pub readiness: Readiness,
-    /// Whether its host is suspected; it is then tried only as a last resort.
+    /// Whether the failure detector suspects its host; the upstream is then tried only as a
+    /// last resort.
     pub host_suspected: bool,
 }
 
-/// Why an upstream was chosen; goes into the log.
+/// Why an upstream was chosen, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The best candidate in the own failure domain.
+    /// Best candidate of the own failure domain.
     Near,
-    /// The own failure domain has no free slot or is much slower.
+    /// The own failure domain has no free slot or is much slower than another.
     Spill,
-    /// The own failure domain has no upstream that takes work.
+    /// The own failure domain has no available upstream.
     NoneNear,
-    /// All are set aside, so the one whose time ends first is tried.
+    /// All upstreams are ejected or on suspected hosts; the one whose ejection ends first
+    /// is tried.
     LastResort,
-    /// All that are not set aside named limits; this one has a token in time.
+    /// No upstream can take the call now; this one named a rate limit and has a token in
+    /// time.
     NextToken,
 }
 
 /// A chosen upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// Where to send.
+    /// The upstream.
     pub key: UpstreamKey,
-    /// Why.
+    /// Why it was chosen.
     pub reason: Reason,
 }
 
-/// What the daemon beside an upstream tells of it, in each answer.
+/// Load report of an upstream, sent by the daemon on its host with each answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Calls at the upstream and waiting for it.
+    /// Calls that run at the upstream or wait for a slot.
     pub load: Option<u16>,
-    /// Share of the calls sent to it that it takes.
+    /// Share of the calls sent to the upstream that it accepts.
     pub accept_ratio: Option<f64>,
-    /// After what time to ask it again, where it names a limit.
+    /// Time until the next token, where the upstream names a rate limit.
     pub next_token: Option<Duration>,
 }
 
 /// How an attempt at an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// A whole answer: the time that the upstream took for it, the time that it
-    /// took from here, and what was told beside it.
+    /// A complete answer, with the time that the upstream took, the time that this daemon
+    /// waited for it, and the load report.
     Answered { service: Duration, total: Duration, report: LoadReport },
-    /// A whole answer that says that the upstream failed.
+    /// A complete answer that reports a failure of the upstream.
     ErrorAnswer,
-    /// Refused as not run.
+    /// Refused; the call was not run.
     Refused { retry_after: Duration, report: LoadReport },
-    /// Not taken since it would have had to wait; there may be room elsewhere.
+    /// Not admitted since the call would have had to wait; another upstream may have a free
+    /// slot.
     Full { report: LoadReport },
-    /// Refused as not run, since its large answer could not leave the host in
-    /// time; the upstream itself may have room.
+    /// Refused and not run, since the host's link could not carry the large answer in time;
+    /// the upstream itself may have a free slot.
     LinkBusy,
-    /// Not taken since another version is to serve; what one daemon has heard of the
-    /// rollout says nothing of its upstream.
+    /// Not admitted since a rollout assigns the call to another version. This depends on
+    /// what the exit daemon knows of the rollout and says nothing about the upstream.
     HeldBack,
-    /// Certainly not run, since the host could not be reached.
+    /// Not run, since the host could not be reached.
     Unreached,
-    /// No whole answer.
+    /// No complete answer.
     Failed,
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
 }
 
-/// What a call asks of a choice.
+/// The properties of a call that the choice depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// Its kind.
+    /// Kind of the call.
     pub kind: KindKey,
-    /// Its rank.
+    /// Priority of the call.
     pub priority: Priority,
-    /// What is left of the time in which an answer is worth most.
+    /// Time left until the objective of the call, after which an answer is worth less.
     pub objective: Duration,
 }
--- a/crates/core/src/request/choose/observe.rs
+++ b/crates/core/src/request/choose/observe.rs
@@ -1,6 +1,6 @@
-//! What a picker learns from attempts and their answers.
+//! Updates a picker's estimates from attempts and their outcomes.
 
-use super::kinds::Spread;
+use super::kinds::KindStats;
 use super::picker::Picker;
 use super::upstream::BackOff;
 use super::{Demand, Outcome, UpstreamKey};
@@ -8,62 +8,64 @@
 use crate::request::gate::KindKey;
 use std::time::{Duration, Instant};
 
-/// Kinds of calls whose times are kept apart; further ones share the rest.
-const KINDS_KEPT: usize = 64;
-/// Failures in a row before an upstream is set aside.
+/// Kinds of calls with statistics of their own; further kinds are not tracked and count
+/// with the default mean.
+const MAX_KINDS: usize = 64;
+/// Consecutive failures after which an upstream is ejected.
 const EJECT_AFTER: u32 = 3;
-/// Longest time for which an upstream that refused a call gets no further ones of
-/// that rank. Its queue is as long as it may be; asking again at once costs a way
-/// there and back for the same answer. Short, since a slot is free again soon.
-const BACK_OFF_MOST: Duration = Duration::from_millis(60);
-/// Weight of a new answer in the service's share of errors.
+/// Longest time for which an upstream that refused a call gets no calls of the same or a
+/// lower rank. Its queue is full, and another call at once would cost a round trip for the
+/// same refusal. The time is short since a slot becomes free soon.
+const MAX_BACK_OFF: Duration = Duration::from_millis(60);
+/// Weight of a new answer in the error ratio of the service.
 const SERVICE_ERROR_SMOOTHING: f64 = 0.02;
-/// Weight of a new attempt in the service's share of those that found no free slot.
+/// Weight of a new attempt in the service's share of attempts that found no free slot.
 const SHORTAGE_SMOOTHING: f64 = 0.05;
 
 impl Picker {
-    /// Takes in that a host gives no sign of life, or does again.
+    /// Records whether a host is silent; the upstreams of a silent host get no calls.
     pub fn set_silent(&mut self, host: HostKey, silent: bool) {
         for upstream in self.arena.iter_mut().filter(|upstream| upstream.info.host == host) {
             upstream.silent = silent;
         }
     }
 
-    /// Takes in that an attempt is late: it has taken this long and goes on.
+    /// Records that an attempt has taken `elapsed` so far and is still in flight.
     ///
-    /// Failure: an upstream falls silent, and each call to it is answered by a
-    /// second attempt elsewhere, after which the first is cancelled. Symptom:
-    /// nothing bad was ever observed of it, and every call is late. What has
-    /// passed already counts as the least that the attempt takes.
+    /// Failure: an upstream stops answering, and each call to it is answered by a hedged
+    /// attempt elsewhere, after which the first attempt is cancelled. Symptom: no failure
+    /// of the upstream is ever observed, and every call to it is late. The elapsed time is
+    /// a lower bound of the attempt's time and is counted as such; the attempt also counts as
+    /// an error.
     pub fn record_late(
         &mut self,
         key: UpstreamKey,
         demand: Demand,
-        passed: Duration,
+        elapsed: Duration,
         now: Instant,
     ) {
-        let Some(spread) = self.kinds.get(&demand.kind) else { return };
-        let relative = passed.as_secs_f64() * 1e3 / spread.total.max(0.1);
+        let Some(stats) = self.kinds.get(&demand.kind) else { return };
+        let relative = elapsed.as_secs_f64() * 1e3 / stats.total.max(0.1);
         let upstream = self.at_mut(key);
-        upstream.observe_speed(relative.max(1.0), now);
-        upstream.erred(now);
+        upstream.observe_relative_time(relative.max(1.0), now);
+        upstream.record_error(now);
     }
 
-    /// Takes in how long one more large answer would take to leave the host of an
-    /// upstream.
+    /// Records how long one more large answer would wait for the link of an upstream's
+    /// host.
     pub fn record_link_wait(&mut self, key: UpstreamKey, wait: Duration, now: Instant) {
-        self.at_mut(key).link = Some((wait, now));
+        self.at_mut(key).link_wait = Some((wait, now));
     }
 
-    /// Returns whether a kind's answers are large.
+    /// Returns whether the answers of a kind are large.
     pub fn is_large(&self, kind: KindKey) -> bool {
-        self.kinds.get(&kind).is_some_and(|spread| spread.large)
+        self.kinds.get(&kind).is_some_and(|stats| stats.large)
     }
 
-    /// Takes in whether a kind's answers are large.
+    /// Records whether the answers of a kind are large.
     pub fn set_large(&mut self, kind: KindKey, large: bool) {
-        if let Some(spread) = self.kinds.get_mut(&kind) {
-            spread.large = large;
+        if let Some(stats) = self.kinds.get_mut(&kind) {
+            stats.large = large;
         }
     }
 
@@ -87,27 +89,27 @@
         upstream.outstanding = upstream.outstanding.saturating_sub(1);
         match outcome {
             Outcome::Answered { report, .. } => {
-                upstream.answered(relative.unwrap_or(1.0), report.load, now);
+                upstream.record_answer(relative.unwrap_or(1.0), report.load, now);
                 upstream.apply_report(report, now);
             }
             Outcome::Full { report } => {
                 upstream.failures = 0;
                 upstream.apply_report(report, now);
             }
-            Outcome::ErrorAnswer => upstream.erred(now),
+            Outcome::ErrorAnswer => upstream.record_error(now),
             Outcome::Refused { retry_after, report } => {
                 upstream.failures = 0;
                 upstream.apply_report(report, now);
                 if policy.back_off {
                     upstream.back_off = Some(BackOff {
                         priority: demand.priority,
-                        until: now + retry_after.min(BACK_OFF_MOST),
+                        until: now + retry_after.min(MAX_BACK_OFF),
                         retry_after,
                     });
                 }
             }
             Outcome::Unreached | Outcome::Failed => {
-                upstream.erred(now);
+                upstream.record_error(now);
                 upstream.failures += 1;
                 let at_once = outcome == Outcome::Unreached;
                 if policy.eject && (at_once || upstream.failures >= EJECT_AFTER) {
@@ -118,20 +120,21 @@
         }
     }
 
-    /// Takes times in; returns the upstream's in means of its kind.
+    /// Adds the times of a call to its kind; returns the upstream's time as a multiple of the
+    /// kind's mean.
     fn observe(&mut self, kind: KindKey, service: Duration, total: Duration) -> f64 {
         let (service, total) = (service.as_secs_f64() * 1e3, total.as_secs_f64() * 1e3);
-        let has_room = self.kinds.len() < KINDS_KEPT;
+        let has_room = self.kinds.len() < MAX_KINDS;
         match self.kinds.get_mut(&kind) {
-            Some(spread) => {
-                let relative = service / spread.service.max(0.1);
-                spread.observe(service, total);
+            Some(stats) => {
+                let relative = service / stats.service.max(0.1);
+                stats.observe(service, total);
                 relative
             }
             None if has_room => {
                 let deviation = total / 2.0;
                 let large = false;
-                self.kinds.insert(kind, Spread { service, total, deviation, large });
+                self.kinds.insert(kind, KindStats { service, total, deviation, large });
                 1.0
             }
             None => 1.0,
@@ -149,11 +152,11 @@
             | Outcome::Unreached
             | Outcome::Cancelled => return,
         };
-        self.errors += SERVICE_ERROR_SMOOTHING * (error - self.errors);
+        self.error_ratio += SERVICE_ERROR_SMOOTHING * (error - self.error_ratio);
     }
 
     fn observe_shortage(&mut self, outcome: Outcome) {
-        let had_none = match outcome {
+        let found_no_slot = match outcome {
             Outcome::Full { .. } | Outcome::Refused { .. } => 1.0,
             Outcome::Answered { .. } => 0.0,
             Outcome::ErrorAnswer
@@ -163,6 +166,6 @@
             | Outcome::Failed
             | Outcome::Cancelled => return,
         };
-        self.shortage += SHORTAGE_SMOOTHING * (had_none - self.shortage);
+        self.shortage += SHORTAGE_SMOOTHING * (found_no_slot - self.shortage);
     }
 }
--- a/crates/core/src/request/choose/policy.rs
+++ b/crates/core/src/request/choose/policy.rs
@@ -1,35 +1,35 @@
-//! Which decisions of a picker are in force.
+//! Switches for the decisions of a picker.
 
 use serde::{Deserialize, Serialize};
 
 /// The decisions of a picker, each of which can be switched off.
 ///
-/// The experiment `policy` takes one out at a time to show what it is worth.
+/// The experiment `policy` switches off one at a time to measure its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Compare candidates by expected time; off: a random one.
+    /// Compare candidates by expected time; where off, a random one is chosen.
     pub compare: bool,
     /// Prefer the own failure domain.
     pub prefer_near: bool,
-    /// Weigh observed latency, not only outstanding calls.
+    /// Include observed latency in the cost, not only outstanding calls.
     pub latency: bool,
-    /// Use load hints from answers.
+    /// Use the load reports in answers.
     pub hints: bool,
-    /// Set failing upstreams aside.
+    /// Eject upstreams that fail.
     pub eject: bool,
-    /// Give an upstream without a recent answer little.
+    /// Assume few slots at an upstream without a recent answer.
     pub unproven: bool,
-    /// Stay away from an upstream for the time it asked for.
+    /// Send no calls to an upstream for the time that its refusal asked for, up to a limit.
     pub back_off: bool,
-    /// Choose among a part of a large failure domain.
+    /// Choose from a subset of the upstreams of a large failure domain.
     pub subset: bool,
-    /// Count the share of calls that an upstream refuses, as its host tells.
+    /// Include the share of calls that an upstream refuses, by its load reports, in the cost.
     pub refusals: bool,
 }
 
 impl Policy {
-    /// All of it.
+    /// All decisions in force.
     pub const ALL: Policy = Policy {
         compare: true,
         prefer_near: true,
--- a/crates/core/src/request/suspects/row.rs
+++ b/crates/core/src/request/suspects/row.rs
@@ -1,24 +1,24 @@
-//! What a daemon knows against one call.
+//! The entry of one suspected call.
 
-use super::{ENDS_KEPT, ENDS_TO_QUARANTINE, Suspicion};
+use super::{ENDS_TO_QUARANTINE, MAX_ENDS, Suspicion};
 use crate::ids::{CallDigest, StartKey};
 use std::time::Instant;
 
-/// The ends under one call, and what became of them.
+/// Ends of upstreams under one call, and those of which the call was cleared.
 #[derive(Clone, Debug)]
 pub(super) struct Row {
     pub ended: Vec<StartKey>,
     pub cleared: Vec<StartKey>,
-    /// When the last end is [`QUARANTINE_TIME`] old.
+    /// When the last end is [`QUARANTINE_TIME`](super::QUARANTINE_TIME) old.
     pub until: Instant,
-    /// When this daemon last came to know of one more end.
-    pub grown_at: Instant,
-    /// Whether an end was seen here.
+    /// When this daemon last learned of a further end.
+    pub ends_changed_at: Instant,
+    /// Whether this daemon saw one of the ends itself.
     pub seen_here: bool,
-    /// Whether it has to be kept where it outlives all daemons, as it is now.
+    /// Whether the store lacks this row or its latest changes.
     pub unsaved: bool,
-    /// Whether this daemon kept it there before.
-    pub is_kept: bool,
+    /// Whether this daemon has written the row to the store.
+    pub is_stored: bool,
 }
 
 impl Row {
@@ -27,40 +27,40 @@
             ended: Vec::new(),
             cleared: Vec::new(),
             until: now,
-            grown_at: now,
+            ends_changed_at: now,
             seen_here: false,
             unsaved: false,
-            is_kept: false,
+            is_stored: false,
         }
     }
 
     pub fn count(&self) -> usize {
-        self.against().count()
+        self.uncleared().count()
     }
 
-    /// Returns the ends that speak against the call.
-    pub fn against(&self) -> impl Iterator<Item = &StartKey> {
+    /// Returns the ends of which the call was not cleared.
+    pub fn uncleared(&self) -> impl Iterator<Item = &StartKey> {
         self.ended.iter().filter(|start| !self.cleared.contains(start))
     }
 
-    pub fn is_against(&self, start: StartKey) -> bool {
+    pub fn is_uncleared(&self, start: StartKey) -> bool {
         self.ended.contains(&start) && !self.cleared.contains(&start)
     }
 
-    pub fn is_judged(&self, now: Instant) -> bool {
+    pub fn has_verdict(&self, now: Instant) -> bool {
         self.count() >= ENDS_TO_QUARANTINE && now < self.until
     }
 
-    /// Takes it for cleared of all ends known; returns whether that is news.
+    /// Clears the call of all ends known; returns whether this changed anything.
     pub fn clear(&mut self) -> bool {
-        let is_news = self.count() > 0;
-        unite(&mut self.cleared, &self.ended);
-        // What is kept would be believed again after a restart of all daemons.
-        self.unsaved |= is_news && self.is_kept;
-        is_news
+        let has_changed = self.count() > 0;
+        merge_starts(&mut self.cleared, &self.ended);
+        // A restart of all daemons would restore the old row from the store.
+        self.unsaved |= has_changed && self.is_stored;
+        has_changed
     }
 
-    pub fn told(&self, call: CallDigest, now: Instant) -> Suspicion {
+    pub fn to_suspicion(&self, call: CallDigest, now: Instant) -> Suspicion {
         let left = self.until.saturating_duration_since(now).as_millis();
         Suspicion {
             call,
@@ -71,13 +71,13 @@
     }
 }
 
-/// Adds starts to a list in order, as many as are kept; returns whether it changed.
-pub(super) fn unite(own: &mut Vec<StartKey>, others: &[StartKey]) -> bool {
+/// Merges starts into a sorted list of at most [`MAX_ENDS`]; returns whether the list changed.
+pub(super) fn merge_starts(own: &mut Vec<StartKey>, others: &[StartKey]) -> bool {
     let before = own.clone();
     own.extend_from_slice(others);
     own.sort_unstable();
     own.dedup();
-    // The same ones are kept everywhere, whatever the order in which they came.
-    own.truncate(ENDS_KEPT);
+    // All daemons keep the same starts, whatever the order in which they arrive.
+    own.truncate(MAX_ENDS);
     *own != before
 }
--- a/crates/core/tests/suspects.rs
+++ b/crates/core/tests/suspects.rs
@@ -1,5 +1,5 @@
-//! Which calls are quarantined, decided alone, and by daemons that tell each other late,
-//! twice or in another order.
+//! Quarantine of calls that end upstreams, at one daemon and across daemons whose
+//! suspicions arrive late, twice or out of order.
 
 use cicadashift_core::ids::{CallDigest, StartKey};
 use cicadashift_core::request::suspects::{
@@ -7,8 +7,8 @@
 };
 use std::time::{Duration, Instant};
 
-const GUILTY: CallDigest = CallDigest(1);
-const INNOCENT: CallDigest = CallDigest(2);
+const FATAL: CallDigest = CallDigest(1);
+const HARMLESS: CallDigest = CallDigest(2);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -22,7 +22,7 @@
     matches!(suspects.state(call, now), QuarantineState::Quarantined { .. })
 }
 
-/// A small generator, so that one seed gives one series of events.
+/// A linear congruential generator: each seed gives one reproducible series of events.
 struct Random(u64);
 
 impl Random {
@@ -33,28 +33,28 @@
     }
 }
 
-// An upstream ends with nine calls at it, the guilty one is sent on, and the next ends
-// with it and eight others. Only the guilty one was at both.
+// An upstream ends with nine calls in flight. The fatal one is sent to another upstream,
+// which ends with it and eight other calls. Only the fatal call was in flight at both.
 #[test]
-fn what_was_at_two_ends_is_quarantined_until_the_time_is_over() {
+fn a_call_at_two_ends_is_quarantined_for_the_quarantine_time() {
     let now = Instant::now();
     let mut suspects = Suspects::default();
     let others = |from: u64| (from..from + 8).map(CallDigest);
-    let first: Vec<_> = others(10).chain([GUILTY]).collect();
-    let second: Vec<_> = others(30).chain([GUILTY]).collect();
+    let first: Vec<_> = others(10).chain([FATAL]).collect();
+    let second: Vec<_> = others(30).chain([FATAL]).collect();
     suspects.ended(start(1), &first, now);
-    let after_one = suspects.state(GUILTY, now);
+    let after_one = suspects.state(FATAL, now);
     suspects.ended(start(1), &first, now);
-    let told_twice = suspects.state(GUILTY, now);
+    let after_duplicate = suspects.state(FATAL, now);
     suspects.ended(start(2), &second, now + ms(100));
-    let after_two = suspects.state(GUILTY, now + ms(100));
-    let beside = suspects.state(CallDigest(10), now + ms(100));
+    let after_two = suspects.state(FATAL, now + ms(100));
+    let harmless = suspects.state(CallDigest(10), now + ms(100));
     let over = now + ms(100) + QUARANTINE_TIME;
-    let later = suspects.state(GUILTY, over);
-    suspects.ended(start(3), &[GUILTY], over);
-    let again = suspects.state(GUILTY, over);
+    let later = suspects.state(FATAL, over);
+    suspects.ended(start(3), &[FATAL], over);
+    let again = suspects.state(FATAL, over);
     insta::assert_debug_snapshot!(
-        (after_one, told_twice, after_two, beside, later, again),
+        (after_one, after_duplicate, after_two, harmless, later, again),
         @r"
     (
         Suspected,
@@ -72,57 +72,57 @@
     );
 }
 
-// A call that comes a hundred times a second is at every upstream when a failure domain
-// loses its power. It ran well everywhere a moment before; and one that had not run here
-// is cleared by the first good run anywhere, also when that is heard of later.
+// A call that arrives a hundred times a second is in flight at every upstream of a failure
+// domain that loses power. Its good run a moment before keeps it from being suspected. A
+// daemon without a good run of the call clears it when it learns of one elsewhere.
 #[test]
-fn a_good_run_speaks_for_a_call() {
+fn a_good_run_clears_a_call() {
     let now = Instant::now();
     let mut suspects = Suspects::default();
-    suspects.ran_well(INNOCENT, now);
+    suspects.ran_well(HARMLESS, now);
     for n in 1..10 {
-        assert_eq!(suspects.ended(start(n), &[INNOCENT], now + ms(n)), []);
+        assert_eq!(suspects.ended(start(n), &[HARMLESS], now + ms(n)), []);
     }
-    assert_eq!(suspects.state(INNOCENT, now + ms(10)), QuarantineState::Clear);
+    assert_eq!(suspects.state(HARMLESS, now + ms(10)), QuarantineState::Clear);
 
-    let mut there = Suspects::default();
-    let mut news = there.ended(start(1), &[INNOCENT], now);
-    news.extend(there.ended(start(2), &[INNOCENT], now));
-    assert!(is_quarantined(&there, INNOCENT, now));
-    let veto = suspects.merge(&news, now + ms(20));
-    there.merge(&veto, now + ms(21));
-    assert_eq!(there.state(INNOCENT, now + ms(21)), QuarantineState::Clear);
-    // Late news of the same ends change nothing.
-    there.merge(&news, now + ms(30));
-    assert_eq!(there.state(INNOCENT, now + ms(30)), QuarantineState::Clear);
+    let mut other_daemon = Suspects::default();
+    let mut suspicions = other_daemon.ended(start(1), &[HARMLESS], now);
+    suspicions.extend(other_daemon.ended(start(2), &[HARMLESS], now));
+    assert!(is_quarantined(&other_daemon, HARMLESS, now));
+    let retraction = suspects.merge(&suspicions, now + ms(20));
+    other_daemon.merge(&retraction, now + ms(21));
+    assert_eq!(other_daemon.state(HARMLESS, now + ms(21)), QuarantineState::Clear);
+    // A late copy of the same suspicions changes nothing.
+    other_daemon.merge(&suspicions, now + ms(30));
+    assert_eq!(other_daemon.state(HARMLESS, now + ms(30)), QuarantineState::Clear);
 }
 
-// Four daemons see ends of upstreams and good runs of twenty calls, two of them guilty,
-// and their news are lost, doubled and late. Whatever the order: once they have compared
-// what they know, all know the same, the guilty are quarantined, and nobody that ran well
-// since the last end is.
+// Four daemons see ends of upstreams and good runs of twenty calls, two of them fatal, and
+// their suspicions are lost, duplicated and late. Once the daemons have exchanged all their
+// suspicions, they agree in any order of events: the fatal calls are quarantined, and no
+// call with a good run since the last end is.
 #[test]
-fn daemons_agree_whatever_became_of_their_news() {
+fn daemons_converge_although_suspicions_are_lost_duplicated_or_late() {
     for seed in 0..300 {
         let mut random = Random(seed);
         let mut now = Instant::now();
         let mut daemons: Vec<Suspects> = (0..4).map(|_| Suspects::default()).collect();
-        let mut under_way: Vec<Vec<Suspicion>> = Vec::new();
+        let mut in_flight: Vec<Vec<Suspicion>> = Vec::new();
         for n in 0..60 {
             now += ms(random.below(400));
             let here = random.below(4) as usize;
             let call = CallDigest(random.below(20) + 1);
-            let is_guilty = call.0 <= 2;
-            let news = match random.below(3) {
+            let is_fatal = call.0 <= 2;
+            let suspicions = match random.below(3) {
                 0 => daemons[here].ended(start(n), &[call, CallDigest(1 + n % 2)], now),
-                1 if !is_guilty => daemons[here].ran_well(call, now).into_iter().collect(),
+                1 if !is_fatal => daemons[here].ran_well(call, now).into_iter().collect(),
                 _ => Vec::new(),
             };
-            under_way.push(news);
-            let at = random.below(under_way.len() as u64) as usize;
-            let told = under_way[at].clone();
-            let more = daemons[random.below(4) as usize].merge(&told, now);
-            under_way.push(more);
+            in_flight.push(suspicions);
+            let at = random.below(in_flight.len() as u64) as usize;
+            let received = in_flight[at].clone();
+            let more = daemons[random.below(4) as usize].merge(&received, now);
+            in_flight.push(more);
         }
         for call in 3..=20 {
             daemons[0].ran_well(CallDigest(call), now);
@@ -138,72 +138,73 @@
         let summaries: Vec<u64> = daemons.iter().map(|daemon| daemon.summary(now)).collect();
         assert!(summaries.iter().all(|summary| *summary == summaries[0]), "seed {seed}");
         for daemon in &daemons {
-            assert!(is_quarantined(daemon, GUILTY, now), "seed {seed}");
+            assert!(is_quarantined(daemon, FATAL, now), "seed {seed}");
             let wrong = (3..=20).filter(|call| is_quarantined(daemon, CallDigest(*call), now));
             assert_eq!(wrong.count(), 0, "seed {seed}");
         }
     }
 }
 
-// Somebody sends thousands of different calls that end upstreams. What is remembered
-// stays bounded, calls that were at one end go before those that are quarantined, and
-// what was never at an end is never refused.
+// A caller sends thousands of different calls that end upstreams. The table stays bounded,
+// calls with one end are evicted before quarantined ones, and a call that was at no end is
+// never refused.
 #[test]
-fn a_flood_of_guilty_calls_is_bounded_and_hits_nobody_else() {
+fn a_flood_of_fatal_calls_is_bounded_and_affects_no_other_call() {
     let now = Instant::now();
     let mut suspects = Suspects::default();
-    suspects.ended(start(1), &[GUILTY], now);
-    suspects.ended(start(2), &[GUILTY], now);
+    suspects.ended(start(1), &[FATAL], now);
+    suspects.ended(start(2), &[FATAL], now);
     for n in 0..5_000 {
         suspects.ended(start(10 + n), &[CallDigest(1_000 + n)], now + ms(n));
     }
     let at_end = now + ms(5_000);
-    assert!(is_quarantined(&suspects, GUILTY, at_end));
-    assert_eq!(suspects.state(INNOCENT, at_end), QuarantineState::Clear);
+    assert!(is_quarantined(&suspects, FATAL, at_end));
+    assert_eq!(suspects.state(HARMLESS, at_end), QuarantineState::Clear);
     assert_eq!(suspects.all(at_end).len(), MAX_SUSPECTED);
 }
 
-// Daemons forget at slightly different moments. One that has forgotten is not reminded by
-// one that has not, or both would remember for ever.
+// Copies of a suspicion expire at slightly different moments. A daemon whose copy has
+// expired must not get it back from another one, or the suspicion would never expire.
 #[test]
-fn what_is_old_is_not_told() {
+fn suspicions_about_to_expire_are_not_sent() {
     let now = Instant::now();
     let mut early = Suspects::default();
-    let mut news = early.ended(start(1), &[GUILTY], now);
-    news.extend(early.ended(start(2), &[GUILTY], now));
+    let mut suspicions = early.ended(start(1), &[FATAL], now);
+    suspicions.extend(early.ended(start(2), &[FATAL], now));
     let mut late = Suspects::default();
-    late.merge(&news, now + ms(700));
+    late.merge(&suspicions, now + ms(700));
     let nearly = now + QUARANTINE_TIME - ms(1);
-    assert!(is_quarantined(&early, GUILTY, nearly));
+    assert!(is_quarantined(&early, FATAL, nearly));
     assert_eq!((early.all(nearly), late.all(nearly)), (Vec::new(), Vec::new()));
     assert_eq!(early.summary(nearly), late.summary(nearly));
 }
 
-// Of the daemons that know of a quarantine only those keep it that saw an end, until it
-// is kept; so a restart of all finds it, and hundreds do not write the same.
+// Only daemons that saw an end of an upstream write a quarantine to the store, until it is
+// stored. A restart of all daemons then finds it, without hundreds of daemons writing it.
 #[test]
-fn those_that_saw_an_end_keep_the_quarantine() {
+fn daemons_that_saw_an_end_write_the_quarantine_to_the_store() {
     let now = Instant::now();
-    let mut saw = Suspects::default();
-    let first = saw.ended(start(1), &[GUILTY], now);
-    assert_eq!(saw.unsaved(now), []);
-    let mut other = Suspects::default();
-    other.merge(&first, now);
-    let second = other.ended(start(2), &[GUILTY], now);
-    let mut heard = Suspects::default();
-    heard.merge(&second, now);
-    saw.merge(&second, now);
-    let unsaved = [&saw, &other, &heard].map(|suspects| suspects.unsaved(now).len());
+    let mut first_witness = Suspects::default();
+    let first = first_witness.ended(start(1), &[FATAL], now);
+    assert_eq!(first_witness.unsaved(now), []);
+    let mut second_witness = Suspects::default();
+    second_witness.merge(&first, now);
+    let second = second_witness.ended(start(2), &[FATAL], now);
+    let mut informed = Suspects::default();
+    informed.merge(&second, now);
+    first_witness.merge(&second, now);
+    let unsaved =
+        [&first_witness, &second_witness, &informed].map(|suspects| suspects.unsaved(now).len());
     assert_eq!(unsaved, [1, 1, 0]);
-    saw.mark_saved(&saw.unsaved(now)[0].clone());
-    assert_eq!(saw.unsaved(now), []);
+    first_witness.mark_saved(&first_witness.unsaved(now)[0].clone());
+    assert_eq!(first_witness.unsaved(now), []);
     let mut restarted = Suspects::default();
-    restarted.merge(&other.unsaved(now), now + ms(10));
-    assert!(is_quarantined(&restarted, GUILTY, now + ms(10)));
+    restarted.merge(&second_witness.unsaved(now), now + ms(10));
+    assert!(is_quarantined(&restarted, FATAL, now + ms(10)));
 
-    // It is lifted at one of the others: who kept it keeps that too.
-    let lifted = heard.clear(GUILTY, now + ms(20)).expect("it was known");
-    saw.merge(&[lifted], now + ms(30));
-    restarted.merge(&saw.unsaved(now + ms(30)), now + ms(40));
-    assert_eq!(restarted.state(GUILTY, now + ms(40)), QuarantineState::Clear);
+    // The quarantine is lifted at another daemon: the daemon that stored it stores that too.
+    let lifted = informed.clear(FATAL, now + ms(20)).expect("the call is suspected at this daemon");
+    first_witness.merge(&[lifted], now + ms(30));
+    restarted.merge(&first_witness.unsaved(now + ms(30)), now + ms(40));
+    assert_eq!(restarted.state(FATAL, now + ms(40)), QuarantineState::Clear);
 }
--- a/crates/core/tests/verdicts.rs
+++ b/crates/core/tests/verdicts.rs
@@ -1,8 +1,9 @@
-//! What verdicts on calls that end upstreams cost the innocent, over seeds.
+//! Harmless calls refused because of fatal ones, simulated over many seeds.
 //!
-//! A fresh service of eight upstreams runs some calls that end whichever upstream runs
-//! them, brought again and again by their callers, beside one innocent call that comes at
-//! a steady rate. News take up to 40 ms, and trials are made one at a time.
+//! A fresh service of eight upstreams runs some fatal calls, which end any upstream that
+//! runs them and are retried by their callers, and one harmless call that arrives at a
+//! steady rate. Suspicions take up to 40 ms to other daemons, and trials are made one at a
+//! time.
 
 use cicadashift_core::ids::{CallDigest, StartKey};
 use cicadashift_core::request::suspects::{QuarantineState, Review, Suspects, Suspicion};
@@ -12,16 +13,16 @@
 const UPSTREAMS: usize = 8;
 const SEEDS: u64 = 100;
 const STEP: Duration = Duration::from_millis(10);
-/// Steps that a run takes, and a guilty one until its upstream ends.
+/// Steps that a run takes; the run of a fatal call then ends its upstream.
 const RUN: u64 = 10;
-/// Steps that an upstream is away after its end.
-const AWAY: u64 = 40;
-/// Steps between two tries of a guilty call by its caller.
-const GUILTY_EVERY: u64 = 50;
-/// Steps played: 30 seconds, so that no trial comes by age alone.
+/// Steps for which an upstream is down after its end.
+const DOWNTIME: u64 = 40;
+/// Steps between two tries of a fatal call by its caller.
+const FATAL_EVERY: u64 = 50;
+/// Steps simulated: just under 30 seconds, so that no trial is due by age alone.
 const STEPS: u64 = 2_900;
 const DAEMONS: usize = 2;
-const INNOCENT: CallDigest = CallDigest(1_000);
+const HARMLESS: CallDigest = CallDigest(1_000);
 
 struct Random(u64);
 
@@ -36,8 +37,8 @@
 #[derive(Default)]
 struct Upstream {
     start: u64,
-    /// When it is back.
-    back: u64,
+    /// Step at which it is up again.
+    up_at: u64,
     runs: Vec<Run>,
 }
 
@@ -51,50 +52,50 @@
 #[derive(Default)]
 struct Tally {
     refused: u64,
-    came: u64,
+    arrived: u64,
     refused_late: u64,
     ends: Vec<u64>,
 }
 
-struct Play {
+struct Simulation {
     now: Instant,
     step: u64,
     random: Random,
     daemons: [Suspects; DAEMONS],
-    /// News under way, and when they come.
-    news: Vec<(u64, Suspicion)>,
+    /// Suspicions in flight, with the step at which they arrive.
+    pending: Vec<(u64, Suspicion)>,
     upstreams: Vec<Upstream>,
     starts: u64,
     is_trying: bool,
     tally: Tally,
 }
 
-impl Play {
-    fn new(seed: u64, guilty: u64) -> Play {
+impl Simulation {
+    fn new(seed: u64, fatal_calls: u64) -> Simulation {
         let upstreams =
             (0..UPSTREAMS as u64).map(|start| Upstream { start, ..Upstream::default() });
-        Play {
+        Simulation {
             now: Instant::now(),
             step: 0,
             random: Random(seed),
             daemons: Default::default(),
-            news: Vec::new(),
+            pending: Vec::new(),
             upstreams: upstreams.collect(),
             starts: UPSTREAMS as u64,
             is_trying: false,
-            tally: Tally { ends: vec![0; guilty as usize], ..Tally::default() },
+            tally: Tally { ends: vec![0; fatal_calls as usize], ..Tally::default() },
         }
     }
 
-    fn tell(&mut self, news: Vec<Suspicion>) {
-        for suspicion in news {
+    fn send(&mut self, changes: Vec<Suspicion>) {
+        for suspicion in changes {
             let due = self.step + 1 + self.random.below(4);
-            self.news.push((due, suspicion));
+            self.pending.push((due, suspicion));
         }
     }
 
-    /// A call comes to a daemon; returns whether it was sent to an upstream.
-    fn come(&mut self, call: CallDigest) -> bool {
+    /// Brings a call to a random daemon; returns whether it was sent to an upstream.
+    fn arrive(&mut self, call: CallDigest) -> bool {
         let at = self.random.below(DAEMONS as u64) as usize;
         let suspects = &self.daemons[at];
         let mut is_trial = false;
@@ -105,7 +106,7 @@
             }
         }
         let up: Vec<usize> =
-            (0..UPSTREAMS).filter(|i| self.upstreams[*i].back <= self.step).collect();
+            (0..UPSTREAMS).filter(|i| self.upstreams[*i].up_at <= self.step).collect();
         if up.is_empty() {
             return false;
         }
@@ -119,56 +120,57 @@
     fn end_runs(&mut self) {
         for i in 0..UPSTREAMS {
             let step = self.step;
-            let (over, on): (Vec<Run>, Vec<Run>) =
+            let (finished, running): (Vec<Run>, Vec<Run>) =
                 self.upstreams[i].runs.iter().partition(|run| run.until <= step);
-            let fatal: Vec<Run> = over.iter().copied().filter(|run| run.call.0 < 1_000).collect();
+            let fatal: Vec<Run> =
+                finished.iter().copied().filter(|run| run.call.0 < 1_000).collect();
             if fatal.is_empty() {
-                self.upstreams[i].runs = on;
-                for run in over {
+                self.upstreams[i].runs = running;
+                for run in finished {
                     self.is_trying &= !run.is_trial;
-                    let news = self.daemons[i % DAEMONS].ran_well(run.call, self.now);
-                    self.tell(news.into_iter().collect());
+                    let changes = self.daemons[i % DAEMONS].ran_well(run.call, self.now);
+                    self.send(changes.into_iter().collect());
                 }
                 continue;
             }
             fatal.iter().for_each(|run| self.tally.ends[run.call.0 as usize] += 1);
-            let all: Vec<Run> = over.into_iter().chain(on).collect();
+            let all: Vec<Run> = finished.into_iter().chain(running).collect();
             self.is_trying &= !all.iter().any(|run| run.is_trial);
             let calls: Vec<CallDigest> = all.iter().map(|run| run.call).collect();
             let start = StartKey(self.upstreams[i].start);
-            let news = self.daemons[i % DAEMONS].ended(start, &calls, self.now);
-            self.tell(news);
+            let changes = self.daemons[i % DAEMONS].ended(start, &calls, self.now);
+            self.send(changes);
             self.starts += 1;
             self.upstreams[i] =
-                Upstream { start: self.starts, back: self.step + AWAY, runs: Vec::new() };
+                Upstream { start: self.starts, up_at: self.step + DOWNTIME, runs: Vec::new() };
         }
     }
 
-    fn hear(&mut self) {
+    fn deliver(&mut self) {
         let step = self.step;
         let (due, later) =
-            std::mem::take(&mut self.news).into_iter().partition(|(at, _)| *at <= step);
-        self.news = later;
+            std::mem::take(&mut self.pending).into_iter().partition(|(at, _)| *at <= step);
+        self.pending = later;
         let due: Vec<(u64, Suspicion)> = due;
-        let told: Vec<Suspicion> = due.into_iter().map(|(_, suspicion)| suspicion).collect();
+        let received: Vec<Suspicion> = due.into_iter().map(|(_, suspicion)| suspicion).collect();
         for at in 0..DAEMONS {
-            let more = self.daemons[at].merge(&told, self.now);
-            self.tell(more);
+            let changed = self.daemons[at].merge(&received, self.now);
+            self.send(changed);
         }
     }
 
-    fn run(mut self, guilty: u64, innocent_every: u64) -> Tally {
+    fn run(mut self, fatal_calls: u64, harmless_every: u64) -> Tally {
         while self.step < STEPS {
-            self.hear();
+            self.deliver();
             self.end_runs();
-            for n in 0..guilty {
-                if self.step % GUILTY_EVERY == n % GUILTY_EVERY {
-                    self.come(CallDigest(n));
+            for n in 0..fatal_calls {
+                if self.step % FATAL_EVERY == n % FATAL_EVERY {
+                    self.arrive(CallDigest(n));
                 }
             }
-            if self.step % innocent_every == 0 {
-                let is_refused = !self.come(INNOCENT);
-                self.tally.came += 1;
+            if self.step % harmless_every == 0 {
+                let is_refused = !self.arrive(HARMLESS);
+                self.tally.arrived += 1;
                 self.tally.refused += u64::from(is_refused);
                 self.tally.refused_late += u64::from(is_refused && self.step > STEPS / 2);
             }
@@ -179,25 +181,26 @@
     }
 }
 
-// Callers of the innocent call are refused only for as long as it takes to find out, and
-// whatever happens at the start, they are served in the second half of the time. No
-// guilty call ends more upstreams than the three that are free and three after them.
+// Callers of the harmless call are refused only until it is cleared: in the second half of
+// the simulated time they are always served. No fatal call ends more than six upstreams:
+// the three that are accepted in any case, and three after them.
 #[test]
-fn the_innocent_are_found_and_the_guilty_stay_within_their_limit() {
+fn harmless_calls_are_cleared_and_fatal_calls_stay_within_their_limit() {
     let mut table = String::from("a second, guilty: refused of came, most ends of one guilty\n");
-    for innocent_every in [100, 10, 1] {
-        for guilty in [1, 5, 30] {
-            let (mut refused, mut came, mut most) = (0, 0, 0);
+    for harmless_every in [100, 10, 1] {
+        for fatal_calls in [1, 5, 30] {
+            let (mut refused, mut arrived, mut max_ends) = (0, 0, 0);
             for seed in 0..SEEDS {
-                let tally = Play::new(seed, guilty).run(guilty, innocent_every);
+                let tally = Simulation::new(seed, fatal_calls).run(fatal_calls, harmless_every);
                 refused += tally.refused;
-                came += tally.came;
-                assert_eq!(tally.refused_late, 0, "seed {seed}: {innocent_every} {guilty}");
-                most = most.max(tally.ends.into_iter().max().unwrap_or_default());
+                arrived += tally.arrived;
+                assert_eq!(tally.refused_late, 0, "seed {seed}: {harmless_every} {fatal_calls}");
+                max_ends = max_ends.max(tally.ends.into_iter().max().unwrap_or_default());
             }
-            assert!(most <= 6, "{most} ends by one of {guilty}");
-            let rate = 100 / innocent_every;
-            writeln!(table, "{rate:>3}, {guilty:>2}: {refused} of {came}, {most}").expect("text");
+            assert!(max_ends <= 6, "{max_ends} ends by one of {fatal_calls}");
+            let rate = 100 / harmless_every;
+            writeln!(table, "{rate:>3}, {fatal_calls:>2}: {refused} of {arrived}, {max_ends}")
+                .expect("writing to a string does not fail");
         }
     }
     insta::assert_snapshot!(table);
