--- a/src/daemon/catch_up.rs
+++ b/src/daemon/catch_up.rs
@@ -1,6 +1,6 @@
 //! Joining, finding a floor after a start, and noticing what was missed.
 
-use super::sources::{self, Source, current_of, far_readers};
+use super::sources::{self, ObjectSource, active_version_of, readers_of_other_domains};
 use super::{Daemon, peers, reader, stage};
 use crate::store::{Platform, keys};
 use cicadashift_core::delivery::node::Event;
@@ -58,7 +58,7 @@
 /// Notes that a member knows a higher active version, and fetches it.
 pub async fn behind(d: &Arc<Daemon>, from: HostKey) {
     let Some(to) = d.members.address(from) else { return };
-    if let Some(what) = current_of(d, to).await {
+    if let Some(what) = active_version_of(d, to).await {
         take(d, what, to).await;
     }
 }
@@ -135,12 +135,12 @@
     if d.versions.floor().is_none() {
         smol::future::zip(stage::ask_floor(d), ask_head(d)).await;
     }
-    let Source::Peers(peers) = sources::peers(d) else { return };
+    let ObjectSource::Peers(peers) = sources::object_peers(d) else { return };
     for peer in peers {
         if d.versions.running_version() > 0 {
             return;
         }
-        if let Some(what) = current_of(d, peer).await {
+        if let Some(what) = active_version_of(d, peer).await {
             take(d, what, peer).await;
         }
     }
@@ -150,12 +150,12 @@
 async fn ask_head(d: &Arc<Daemon>) {
     let near = d.members.others().into_iter().filter_map(|host| d.members.get(host));
     let readers = near.filter(|record| record.reader).map(|record| record.near);
-    let readers: Vec<_> = readers.chain(far_readers(d)).collect();
+    let readers: Vec<_> = readers.chain(readers_of_other_domains(d)).collect();
     for to in readers {
         let answer = peers::ask(d, to, &Ask::Head, ASK_TIME).await;
         if let Ok(Response::Version(Some(what))) = answer {
             if what.version > 0 {
-                d.versions.learn(what);
+                d.versions.add_version_ref(what);
             }
             let actions = d.versions.on(Event::HeadRead(what.version));
             stage::perform(d, actions, None);
@@ -168,12 +168,12 @@
 async fn keep_up(d: &Arc<Daemon>) {
     let active = d.versions.active_version();
     if active > d.versions.running_version() {
-        let what = match d.versions.known(active) {
+        let what = match d.versions.version_ref(active) {
             Some(what) => Some(what),
-            None => sources::find(d, active).await,
+            None => sources::find_version(d, active).await,
         };
         if let Some(what) = what {
-            let _logged = stage::hold(d, what, &sources::peers(d), Scope::Selected).await;
+            let _logged = stage::hold(d, what, &sources::object_peers(d), Scope::Selected).await;
         }
     }
 }
@@ -183,10 +183,10 @@
     if what.version <= d.versions.running_version() {
         return;
     }
-    d.versions.learn(what);
-    let Source::Peers(mut sources) = sources::peers(d) else { return };
+    d.versions.add_version_ref(what);
+    let ObjectSource::Peers(mut sources) = sources::object_peers(d) else { return };
     sources.insert(0, from);
-    let source = Source::Peers(sources);
+    let source = ObjectSource::Peers(sources);
     let held = stage::hold(d, what, &source, Scope::Selected).await;
     let actions = d.versions.on(Event::Activated(what.version));
     if held.is_ok() {
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -83,7 +83,7 @@
 }
 
 /// Takes this daemon's entry away, so that nobody looks for it any more.
-pub async fn leave(d: &Daemon) {
+pub async fn remove_entry(d: &Daemon) {
     let lease = lock(&d.entry_lease).take();
     if let Some(lease) = lease {
         // The store may be away; the entry then ends with its lease.
--- a/src/daemon/document.rs
+++ b/src/daemon/document.rs
@@ -22,7 +22,7 @@
 
 /// The text in force and what is known of its age.
 #[derive(Default)]
-pub struct Documents {
+pub struct DocumentState {
     inner: Mutex<Inner>,
 }
 
@@ -45,7 +45,7 @@
     heartbeats: HashMap<HostKey, Instant>,
 }
 
-impl Documents {
+impl DocumentState {
     /// Takes a newer text in and runs `then` before anybody sees its version;
     /// returns whether it is newer. The one before it is kept for members if
     /// `keep_older`.
@@ -140,7 +140,7 @@
     }
 
     /// Takes in that a member which follows the store runs a version.
-    pub fn cover(&self, member: HostKey, version: Version, now: Instant) {
+    pub fn record_heartbeat(&self, member: HostKey, version: Version, now: Instant) {
         let mut inner = lock(&self.inner);
         inner.heartbeats.retain(|_, at| now.saturating_duration_since(*at) <= COVERED_FOR);
         inner.heartbeats.insert(member, now);
--- a/src/daemon/gateway.rs
+++ b/src/daemon/gateway.rs
@@ -5,7 +5,7 @@
 //! newest version held whole, and calls that are suspected of ending upstreams. A failure domain that has lost the platform
 //! but not its neighbours stays current in this way.
 
-use super::sources::Source;
+use super::sources::ObjectSource;
 use super::{Daemon, lock, peers, promotion, quarantine};
 use crate::store::{Platform, keys};
 use cicadashift_core::ids::{HostKey, Incarnation};
@@ -113,7 +113,7 @@
     if let (Some(newest), Some(asker)) = (newest, asker) {
         consider(d, newest, asker.far);
     }
-    Response::Exchanged { life: d.life, records: own, pos, newest: d.versions.newest_whole() }
+    Response::Exchanged { life: d.life, records: own, pos, newest: d.versions.newest_complete() }
 }
 
 async fn exchange(d: &Arc<Daemon>, to: SocketAddr) -> bool {
@@ -129,7 +129,7 @@
         life: d.life,
         since: progress.theirs,
         records,
-        newest: d.versions.newest_whole(),
+        newest: d.versions.newest_complete(),
     };
     let answer = peers::ask(d, to, &ask, EXCHANGE_TIME).await;
     let Ok(Response::Exchanged { life, records, pos, newest }) = answer else {
@@ -155,7 +155,8 @@
 
 /// Rolls out a version that another failure domain has and this one lacks.
 fn consider(d: &Arc<Daemon>, newest: VersionRef, from: SocketAddr) {
-    let known = d.versions.active_version().max(d.versions.newest_whole().map_or(0, |w| w.version));
+    let known =
+        d.versions.active_version().max(d.versions.newest_complete().map_or(0, |w| w.version));
     if newest.version <= known || !is_gateway(d) || d.gateway.busy.swap(true, Ordering::Relaxed) {
         return;
     }
@@ -163,9 +164,9 @@
     exec::spawn(async move {
         // A reader that sees the platform gets there by itself in this time.
         smol::Timer::after(STEP).await;
-        d.versions.learn(newest);
+        d.versions.add_version_ref(newest);
         if d.versions.active_version() < newest.version {
-            let source = Source::Peers(vec![from]);
+            let source = ObjectSource::Peers(vec![from]);
             if let Err(err) = promotion::run(&d, newest, &source).await {
                 log::warn!("version {} from another failure domain: {err}", newest.version);
             }
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -165,7 +165,7 @@
         send_news(d, (host, from), Kind::News, News { grants, ..News::default() }).await;
     }
     if follows {
-        d.versions.document.cover(host, active, d.clock.now());
+        d.versions.document.record_heartbeat(host, active, d.clock.now());
     }
     if !records.is_empty() {
         d.members.apply(d, records);
@@ -182,7 +182,9 @@
         exec::spawn(async move {
             match d.settings.interface {
                 InterfaceKind::Own => catch_up::behind(&d, host).await,
-                InterfaceKind::Platform => source::learn_from(&d, host, active, follows).await,
+                InterfaceKind::Platform => {
+                    source::update_from_member(&d, host, active, follows).await
+                }
             }
         })
         .detach();
--- a/src/daemon/limits.rs
+++ b/src/daemon/limits.rs
@@ -3,7 +3,7 @@
 //! It admits its share of what is offered to it, reports that to the keepers of the
 //! limits, and keeps some limits itself. `cicadashift_core::limit` has the decisions.
 
-use super::versions::Running;
+use super::versions::RunningConfig;
 use super::{Daemon, datagrams, lock};
 use cicadashift_core::ids::HostKey;
 use cicadashift_core::limit::keeper::{Account, QuotaPart};
@@ -126,7 +126,7 @@
 
 /// What of each limit this daemon counts with as its keeper.
 struct Parts {
-    running: Arc<Running>,
+    running: Arc<RunningConfig>,
     live: usize,
     lost: usize,
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -320,7 +320,7 @@
         ]),
         InterfaceKind::Platform => background.extend([
             exec::spawn(source::run(d.clone())),
-            exec::spawn(source::heartbeats(d.clone())),
+            exec::spawn(source::run_heartbeats(d.clone())),
             exec::spawn(discovery::run(d.clone())),
             exec::spawn(greet::run(d.clone())),
             exec::spawn(rollouts::report::run(d.clone())),
@@ -442,7 +442,7 @@
             InterfaceKind::Own => gateway::exchange_with_all(self).await,
             InterfaceKind::Platform => {
                 // The store may be away; the entry then ends with its lease.
-                let _ended = exec::timeout(ENTRY_TIME, discovery::leave(self)).await;
+                let _ended = exec::timeout(ENTRY_TIME, discovery::remove_entry(self)).await;
             }
         }
         smol::Timer::after(until.saturating_duration_since(self.clock.now())).await;
--- a/src/daemon/promotion.rs
+++ b/src/daemon/promotion.rs
@@ -1,7 +1,7 @@
 //! Rolling a version out to a failure domain, and the relays' part in it.
 
 use super::record::RowDraft;
-use super::sources::Source;
+use super::sources::ObjectSource;
 use super::stage::{self, StageError};
 use super::{Daemon, peers};
 use cicadashift_core::delivery::node::Event;
@@ -30,14 +30,18 @@
 /// # Errors
 ///
 /// Returns why the version cannot be held here; nothing was offered then.
-pub async fn run(d: &Arc<Daemon>, what: VersionRef, source: &Source) -> Result<(), StageError> {
+pub async fn run(
+    d: &Arc<Daemon>,
+    what: VersionRef,
+    source: &ObjectSource,
+) -> Result<(), StageError> {
     let mut draft = RowDraft::new(d, what);
     stage::hold(d, what, source, Scope::Whole).await?;
     let mut others = d.members.others();
     tree::order(&mut others, what.version);
     log::info!("version {}: offered to {} members", what.version, others.len());
     let mut promotion = Promotion::new(what.version, others.iter().copied(), d.clock.now());
-    let news = d.versions.news(what);
+    let news = d.versions.manifest_delta(what);
     let offer = |rest| Ask::Offer { what, origin: d.me, news: news.clone(), rest };
     let fates = spread(d, &others, offer, 2 * RELAY_TIME).await;
     for (host, fate) in fates {
@@ -68,7 +72,7 @@
     news: News,
     rest: Vec<HostKey>,
 ) -> Response {
-    d.versions.take_news(what, &news);
+    d.versions.apply_manifest_delta(what, &news);
     let own = hold_offered(d, what, origin).await;
     let offer = |rest| Ask::Offer { what, origin, news: news.clone(), rest };
     let mut fates = spread(d, &rest, offer, RELAY_TIME).await;
@@ -78,7 +82,7 @@
 
 /// Answers an activation: runs the version, passes it on, tells how all fared.
 pub async fn on_activate(d: &Arc<Daemon>, what: VersionRef, rest: Vec<HostKey>) -> Response {
-    d.versions.learn(what);
+    d.versions.add_version_ref(what);
     let actions = d.versions.on(Event::Activated(what.version));
     stage::perform(d, actions, None);
     let mut fates = spread(d, &rest, |rest| Ask::Activate { what, rest }, RELAY_TIME).await;
@@ -87,10 +91,10 @@
 }
 
 async fn hold_offered(d: &Arc<Daemon>, what: VersionRef, origin: HostKey) -> Fate {
-    d.versions.learn(what);
+    d.versions.add_version_ref(what);
     // The origin holds the version whole; the relay in between may lack what
     // only this proxy selects.
-    let source = Source::Peers(d.members.address(origin).into_iter().collect());
+    let source = ObjectSource::Peers(d.members.address(origin).into_iter().collect());
     match stage::hold(d, what, &source, Scope::Selected).await {
         Ok(()) => Fate::Done,
         Err(err) if err.is_bad() => Fate::Refused(err.to_string()),
@@ -102,7 +106,7 @@
     for (host, why) in promotion.refusals() {
         let name = d.members.get(*host).map_or_else(String::new, |record| record.name);
         log::error!("version {version} is withheld: {name} refused it: {why}");
-        d.versions.mark_bad(version, format!("refused by {name}: {why}"));
+        d.versions.mark_rejected(version, format!("refused by {name}: {why}"));
     }
 }
 
--- a/src/daemon/reader.rs
+++ b/src/daemon/reader.rs
@@ -6,7 +6,7 @@
 //! learns a true head and can do no harm.
 
 use super::promotion;
-use super::sources::Source;
+use super::sources::ObjectSource;
 use super::{Daemon, lock};
 use crate::store::{Change, Lease, Pair, Platform, PlatformError, Revision, Swap, Watch, keys};
 use cicadashift_core::delivery::head::Head;
@@ -128,7 +128,7 @@
     *lock(&d.reader.last_head) = Some((began, what));
     let actions = d.versions.on(Event::HeadRead(what.map_or(0, |what| what.version)));
     if let Some(what) = what {
-        d.versions.learn(what);
+        d.versions.add_version_ref(what);
     }
     super::stage::perform(d, actions, None);
     Ok(what)
@@ -222,7 +222,7 @@
             }
             match exec::timeout(REREAD_EVERY, watch.next()).await {
                 Some(changes) => {
-                    newest = head_in(&changes?)?.inspect(|what| d.versions.learn(*what))
+                    newest = head_in(&changes?)?.inspect(|what| d.versions.add_version_ref(*what))
                 }
                 None => newest = read_head(d).await?,
             }
@@ -241,12 +241,12 @@
         while let Ok(newer) = rx.try_recv() {
             what = newer;
         }
-        d.versions.learn(what);
+        d.versions.add_version_ref(what);
         let unfinished = d.versions.active_version() < what.version;
         if what.version <= done && !unfinished {
             continue;
         }
-        if let Err(err) = promotion::run(d, what, &Source::Platform).await {
+        if let Err(err) = promotion::run(d, what, &ObjectSource::Platform).await {
             log::error!("version {} is not offered: {err}", what.version);
             if !err.is_bad() {
                 continue;
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -9,7 +9,7 @@
 use super::work::{Work, pick_part};
 use super::{headers, paced};
 use crate::daemon::Daemon;
-use crate::daemon::source::CALLER_IDLE_MOST;
+use crate::daemon::source::MAX_CALLER_IDLE;
 use cicadashift_core::config::Route;
 use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::config::organisation::Account;
@@ -65,7 +65,7 @@
     if d.is_leaving() || (d.hosted.is_some() && refused) {
         headers::set(res.headers_mut(), "connection", "close");
     } else if d.hosted.is_some() {
-        let seconds = CALLER_IDLE_MOST.as_secs();
+        let seconds = MAX_CALLER_IDLE.as_secs();
         headers::set(res.headers_mut(), "keep-alive", &format!("timeout={seconds}"));
     }
     paced::by_link(&d, res).map(|body| body::tied(body, counted))
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -10,7 +10,7 @@
 
 use super::members::followers_of;
 use super::peers::MeshError;
-use super::versions::Running;
+use super::versions::RunningConfig;
 use super::{Daemon, datagrams, peers};
 use crate::store::{Change, ClientWatch, Pair, Platform, PlatformError, Revision, Watch};
 use bytes::Bytes;
@@ -71,7 +71,7 @@
 /// 8 KB, and callers that retry open more than they use again. With two seconds
 /// instead of 15, and link-time optimization, eleven daemons under overload took
 /// 5.5 GB x seconds of memory in a minute instead of 12.4 (resident size, summed).
-pub const CALLER_IDLE_MOST: Duration = Duration::from_secs(2);
+pub const MAX_CALLER_IDLE: Duration = Duration::from_secs(2);
 /// Time by which idle connections may outlive what callers were told, so that
 /// one that is used at the last moment is not met by a close.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
@@ -171,7 +171,7 @@
 
 /// Sends heartbeats to the members that rely on this daemon while it follows the
 /// store, until cancelled.
-pub async fn heartbeats(d: Arc<Daemon>) {
+pub async fn run_heartbeats(d: Arc<Daemon>) {
     loop {
         smol::Timer::after(HEARTBEAT_EVERY.mul_f64(0.9 + 0.2 * fastrand::f64())).await;
         send_heartbeats(&d).await;
@@ -216,7 +216,12 @@
 }
 
 /// Takes in the version that a member runs, where this daemon lacks it.
-pub async fn learn_from(d: &Arc<Daemon>, member: HostKey, version: Version, member_follows: bool) {
+pub async fn update_from_member(
+    d: &Arc<Daemon>,
+    member: HostKey,
+    version: Version,
+    member_follows: bool,
+) {
     let Some(behind) = d.versions.document.behind_for(version, d.clock.now()) else { return };
     if may_wait(d, member, member_follows, behind) {
         return;
@@ -426,14 +431,14 @@
     }
     if let Some(limits) = limits {
         let allowed = Duration::from_millis(limits.idle_ms);
-        d.caller_idle.set(allowed.min(CALLER_IDLE_MOST) + IDLE_MARGIN);
+        d.caller_idle.set(allowed.min(MAX_CALLER_IDLE) + IDLE_MARGIN);
     }
     d.metrics.gauge("version.running", version);
     let took = d.clock.now().saturating_duration_since(began).as_millis();
     log::info!("version {version} is in force: {routes} routes, from {from}, after {took} ms");
 }
 
-fn compile(d: &Daemon, document: Document) -> Result<Running, SourceError> {
+fn compile(d: &Daemon, document: Document) -> Result<RunningConfig, SourceError> {
     let proxy = d.settings.proxy();
     let selected: Vec<_> = document
         .configs
@@ -442,7 +447,7 @@
         .collect();
     let names = selected.iter().map(|cfg| cfg.id.clone()).collect();
     let table = RoutingTable::compile(document.version, selected).map_err(SourceError::Invalid)?;
-    Ok(Running {
+    Ok(RunningConfig {
         table,
         selected: names,
         health_paths: document.health_paths,
@@ -453,5 +458,5 @@
 fn refuse(d: &Daemon, version: Version, err: &SourceError, from: &str) {
     log::error!("version {version} from {from} is bad and does not come into force: {err}");
     d.metrics.incr("version.bad");
-    d.versions.mark_bad(version, err.to_string());
+    d.versions.mark_rejected(version, err.to_string());
 }
--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -14,7 +14,7 @@
 
 /// Where objects come from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum ObjectSource {
     /// The platform; only readers use it.
     Platform,
     /// These peers, in this order.
@@ -22,30 +22,30 @@
 }
 
 /// Returns whom to ask for objects: the reader, then some members.
-pub fn peers(d: &Daemon) -> Source {
+pub fn object_peers(d: &Daemon) -> ObjectSource {
     let mut others = d.members.others();
     fastrand::shuffle(&mut others);
     others.sort_by_key(|host| !d.members.get(*host).is_some_and(|record| record.reader));
     others.truncate(PEERS + 1);
     let mut out: Vec<_> = others.iter().filter_map(|host| d.members.address(*host)).collect();
-    out.extend(far_readers(d));
-    Source::Peers(out)
+    out.extend(readers_of_other_domains(d));
+    ObjectSource::Peers(out)
 }
 
 /// Returns a version's root by asking members for theirs.
-pub async fn find(d: &Arc<Daemon>, version: Version) -> Option<VersionRef> {
-    let Source::Peers(peers) = peers(d) else { return None };
+pub async fn find_version(d: &Arc<Daemon>, version: Version) -> Option<VersionRef> {
+    let ObjectSource::Peers(peers) = object_peers(d) else { return None };
     for peer in peers {
-        let what = current_of(d, peer).await;
+        let what = active_version_of(d, peer).await;
         if what.is_some_and(|what| what.version == version) {
             return what;
         }
     }
-    d.versions.known(version)
+    d.versions.version_ref(version)
 }
 
 /// Returns the version that a peer runs.
-pub async fn current_of(d: &Arc<Daemon>, to: SocketAddr) -> Option<VersionRef> {
+pub async fn active_version_of(d: &Arc<Daemon>, to: SocketAddr) -> Option<VersionRef> {
     match peers::ask(d, to, &Ask::Current, ASK_TIME).await {
         Ok(Response::Version(what)) => what,
         _ => None,
@@ -53,7 +53,7 @@
 }
 
 /// Returns the readers of other failure domains.
-pub fn far_readers(d: &Daemon) -> Vec<SocketAddr> {
+pub fn readers_of_other_domains(d: &Daemon) -> Vec<SocketAddr> {
     let far = d.members.far();
     far.iter().filter(|record| record.reader).map(|record| record.far).collect()
 }
--- a/src/daemon/stage.rs
+++ b/src/daemon/stage.rs
@@ -1,7 +1,7 @@
 //! Fetching what a version needs, from whoever has it, and what follows.
 
 use super::costs::Purpose;
-use super::sources::{self, Source};
+use super::sources::{self, ObjectSource};
 use super::{Daemon, peers, versions::Versions};
 use crate::store::{Platform, PlatformError, keys};
 use cicadashift_core::delivery::node::{Action, Event};
@@ -74,10 +74,10 @@
 pub async fn hold(
     d: &Arc<Daemon>,
     what: VersionRef,
-    source: &Source,
+    source: &ObjectSource,
     scope: Scope,
 ) -> Result<(), StageError> {
-    if scope == Scope::Selected && d.versions.holds(what.version) {
+    if scope == Scope::Selected && d.versions.is_staged_or_running(what.version) {
         return Ok(());
     }
     let result = match fetch(d, what, source, scope).await {
@@ -91,7 +91,7 @@
             }
             err if err.is_bad() => {
                 log::error!("version {} is bad and is not run: {err}", what.version);
-                d.versions.mark_bad(what.version, err.to_string());
+                d.versions.mark_rejected(what.version, err.to_string());
             }
             err => log::warn!("version {} is not held yet: {err}", what.version),
         }
@@ -100,7 +100,7 @@
 }
 
 /// Does what the node decided and the versions' state could not do itself.
-pub fn perform(d: &Arc<Daemon>, actions: Vec<Action>, source: Option<&Source>) {
+pub fn perform(d: &Arc<Daemon>, actions: Vec<Action>, source: Option<&ObjectSource>) {
     for action in actions {
         match action {
             Action::Run(version) => {
@@ -124,7 +124,7 @@
 
 /// Asks every witness what this fresh daemon must not go below.
 pub async fn ask_floor(d: &Arc<Daemon>) {
-    ask_witnesses(d, Ask::Floor { host: d.me, life: d.versions.life() }).await;
+    ask_witnesses(d, Ask::Floor { host: d.me, life: d.versions.incarnation() }).await;
 }
 
 /// Answers a fetch with those of the objects that are held.
@@ -163,7 +163,7 @@
                     peers::ask(&d, to, &ask, FETCH_TIME).await
                 {
                     let actions = d.versions.on(Event::Testified(said));
-                    perform(&d, actions, Some(&Source::Peers(vec![to])));
+                    perform(&d, actions, Some(&ObjectSource::Peers(vec![to])));
                 }
             })
         })
@@ -173,17 +173,17 @@
     }
 }
 
-fn stage_later(d: &Arc<Daemon>, version: Version, source: Option<Source>) {
+fn stage_later(d: &Arc<Daemon>, version: Version, source: Option<ObjectSource>) {
     let d = d.clone();
     exec::spawn(async move {
-        let what = match d.versions.known(version) {
+        let what = match d.versions.version_ref(version) {
             Some(what) => what,
-            None => match sources::find(&d, version).await {
+            None => match sources::find_version(&d, version).await {
                 Some(what) => what,
                 None => return,
             },
         };
-        let source = source.unwrap_or_else(|| sources::peers(&d));
+        let source = source.unwrap_or_else(|| sources::object_peers(&d));
         let _logged = hold(&d, what, &source, Scope::Selected).await;
     })
     .detach();
@@ -192,18 +192,18 @@
 async fn fetch(
     d: &Arc<Daemon>,
     what: VersionRef,
-    source: &Source,
+    source: &ObjectSource,
     scope: Scope,
 ) -> Result<Staged, StageError> {
     let proxy = d.settings.proxy();
     let mut missing = Vec::new();
     for _ in 0..MAX_ROUNDS {
-        match d.versions.next(what, &proxy, scope).map_err(StageError::Bad)? {
+        match d.versions.next_staging_step(what, &proxy, scope).map_err(StageError::Bad)? {
             Next::Ready(staged) => return Ok(*staged),
             Next::Fetch(hashes) => {
                 match source {
-                    Source::Platform => from_platform(d, &hashes).await?,
-                    Source::Peers(peers) => from_peers(d, peers, &hashes).await?,
+                    ObjectSource::Platform => from_platform(d, &hashes).await?,
+                    ObjectSource::Peers(peers) => from_peers(d, peers, &hashes).await?,
                 }
                 missing = hashes;
             }
@@ -220,7 +220,7 @@
             let hash = pair.key.strip_prefix(keys::OBJECTS).and_then(ObjectHash::from_hex);
             d.costs.add(Purpose::Control, false, pair.value.len());
             if let Some(hash) = hash {
-                d.versions.put(hash, pair.value).map_err(StageError::Rejected)?;
+                d.versions.put_object(hash, pair.value).map_err(StageError::Rejected)?;
             }
         }
     }
@@ -259,7 +259,7 @@
     for (hash, buf) in objects {
         // Bytes from a peer that do not fit their name are the peer's fault,
         // not the version's: the next peer is asked for them.
-        if let Err(err) = d.versions.put(hash, buf.into_vec()) {
+        if let Err(err) = d.versions.put_object(hash, buf.into_vec()) {
             log::warn!("peer {peer}: {err}");
             d.metrics.incr("stage.rejected");
         }
@@ -279,7 +279,7 @@
     d: &Arc<Daemon>,
     what: VersionRef,
     staged: Staged,
-    source: &Source,
+    source: &ObjectSource,
     scope: Scope,
 ) -> Result<(), StageError> {
     let until = d.clock.now() + SERVICE_WAIT;
@@ -291,7 +291,7 @@
         smol::Timer::after(SERVICE_STEP).await;
     }
     drop(services);
-    let actions = d.versions.hold(what, staged, scope);
+    let actions = d.versions.add_staged(what, staged, scope);
     perform(d, actions, Some(source));
     Ok(())
 }
--- a/src/daemon/versions.rs
+++ b/src/daemon/versions.rs
@@ -1,6 +1,6 @@
 //! The configuration path's state: what is held, promised and run.
 
-use super::document::Documents;
+use super::document::DocumentState;
 use super::lock;
 use crate::clock::Clock;
 use crate::settings::Settings;
@@ -27,7 +27,7 @@
 
 /// What a proxy runs.
 #[derive(Debug, Default)]
-pub struct Running {
+pub struct RunningConfig {
     /// Its routes; empty at version zero.
     pub table: RoutingTable,
     /// Ids of the configurations in it.
@@ -78,9 +78,9 @@
 pub struct Versions {
     clock: Arc<dyn Clock>,
     inner: Mutex<Inner>,
-    running: RwLock<Arc<Running>>,
+    running: RwLock<Arc<RunningConfig>>,
     /// The configuration where it comes whole from one key of the store.
-    pub document: Documents,
+    pub document: DocumentState,
 }
 
 impl Versions {
@@ -102,7 +102,7 @@
             waiting: BTreeMap::new(),
             whole: 0,
         };
-        let document = Documents::default();
+        let document = DocumentState::default();
         Versions { clock, inner: Mutex::new(inner), running: RwLock::default(), document }
     }
 
@@ -112,7 +112,7 @@
     /// before it if `keep_older`.
     pub fn install(
         &self,
-        running: Running,
+        running: RunningConfig,
         revision: Revision,
         text: Bytes,
         keep_older: bool,
@@ -130,7 +130,7 @@
     }
 
     /// Returns what runs now.
-    pub fn running(&self) -> Arc<Running> {
+    pub fn running(&self) -> Arc<RunningConfig> {
         self.running.read().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 
@@ -149,12 +149,12 @@
     }
 
     /// Remembers a version's root.
-    pub fn learn(&self, what: VersionRef) {
+    pub fn add_version_ref(&self, what: VersionRef) {
         lock(&self.inner).refs.insert(what.version, what);
     }
 
     /// Returns a version's root if it is known.
-    pub fn known(&self, version: Version) -> Option<VersionRef> {
+    pub fn version_ref(&self, version: Version) -> Option<VersionRef> {
         lock(&self.inner).refs.get(&version).copied()
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Returns the newest version held with every object, as readers do.
-    pub fn newest_whole(&self) -> Option<VersionRef> {
+    pub fn newest_complete(&self) -> Option<VersionRef> {
         let inner = lock(&self.inner);
         inner.refs.get(&inner.whole).copied()
     }
@@ -187,7 +187,7 @@
     }
 
     /// Returns the number of this life, by which witnesses are asked.
-    pub fn life(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         lock(&self.inner).node.life()
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Returns whether a version is held whole or run already.
-    pub fn holds(&self, version: Version) -> bool {
+    pub fn is_staged_or_running(&self, version: Version) -> bool {
         let inner = lock(&self.inner);
         version <= inner.node.running() || inner.staged.contains_key(&version)
     }
@@ -208,7 +208,7 @@
     /// # Errors
     ///
     /// Returns [`Bad`] where the version must not be run here.
-    pub fn next(
+    pub fn next_staging_step(
         &self,
         what: VersionRef,
         proxy: &cicadashift_core::config::select::Proxy,
@@ -232,7 +232,7 @@
     /// # Errors
     ///
     /// Returns [`Rejected`] where the bytes are not the object.
-    pub fn put(&self, hash: ObjectHash, buf: Vec<u8>) -> Result<(), Rejected> {
+    pub fn put_object(&self, hash: ObjectHash, buf: Vec<u8>) -> Result<(), Rejected> {
         lock(&self.inner).store.put(hash, buf)
     }
 
@@ -242,7 +242,7 @@
     }
 
     /// Returns what is new in a version against the one held whole before it.
-    pub fn news(&self, what: VersionRef) -> News {
+    pub fn manifest_delta(&self, what: VersionRef) -> News {
         let inner = lock(&self.inner);
         let before = inner.refs.range(..what.version).next_back().map(|(_, what)| what.root);
         let base = before.and_then(|base| Some((base, inner.root(base)?)));
@@ -258,7 +258,7 @@
 
     /// Takes in what came with an offer; what does not fit is left out and
     /// fetched instead.
-    pub fn take_news(&self, what: VersionRef, news: &News) {
+    pub fn apply_manifest_delta(&self, what: VersionRef, news: &News) {
         let mut inner = lock(&self.inner);
         let Some(old) = news.base.and_then(|base| inner.root(base)) else { return };
         let root = manifest::encode(&old.with_changes(what.version, &news.slots));
@@ -271,7 +271,7 @@
     }
 
     /// Keeps a version that is staged, and tells the node.
-    pub fn hold(&self, what: VersionRef, staged: Staged, scope: Scope) -> Vec<Action> {
+    pub fn add_staged(&self, what: VersionRef, staged: Staged, scope: Scope) -> Vec<Action> {
         {
             let mut inner = lock(&self.inner);
             inner.refs.insert(what.version, what);
@@ -289,7 +289,7 @@
     }
 
     /// Remembers why a version is bad.
-    pub fn mark_bad(&self, version: Version, why: String) {
+    pub fn mark_rejected(&self, version: Version, why: String) {
         let mut inner = lock(&self.inner);
         inner.waiting.remove(&version);
         inner.bad.insert(version, why);
@@ -333,8 +333,12 @@
         inner.waiting = inner.waiting.split_off(&(version + 1));
         let since_ms = self.clock.wall_ms();
         let health_paths = BTreeMap::new();
-        let running =
-            Running { table: staged.table, selected: staged.selected, health_paths, since_ms };
+        let running = RunningConfig {
+            table: staged.table,
+            selected: staged.selected,
+            health_paths,
+            since_ms,
+        };
         let mut slot = self.running.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         *slot = Arc::new(running);
     }
--- a/tests/document.rs
+++ b/tests/document.rs
@@ -1,7 +1,7 @@
 //! How current a daemon knows its configuration to be, without a daemon.
 
 use bytes::Bytes;
-use cicadashift::daemon::document::Documents;
+use cicadashift::daemon::document::DocumentState;
 use cicadashift_core::ids::Revision;
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
     // A member says that it runs version 2. Before that is taken in, version 2 comes
     // into force from the store. The daemon is current and says so; if it believed
     // itself behind, it would refuse requests without a route until the next version.
-    let documents = Documents::default();
+    let documents = DocumentState::default();
     let now = Instant::now();
     assert!(documents.install(1, at(10), Bytes::from_static(b"one"), true, || {}));
     documents.confirm(now);
