--- a/src/daemon/document.rs
+++ b/src/daemon/document.rs
@@ -1,5 +1,5 @@
-//! The configuration in force where it comes whole from one key of the store, and
-//! how current it is known to be.
+//! The configuration document in force, where the store holds it complete under one key,
+//! and how current it is known to be.
 
 use super::lock;
 use bytes::Bytes;
@@ -12,15 +12,18 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Older texts kept to tell members only what is new. A member is rarely more than
-/// two versions behind; at 150 KB a text these are less than half a megabyte.
-const OLDER_KEPT: usize = 3;
-/// Time after a heartbeat of a member that follows the store in which this daemon may
-/// leave the store to it. They come twice a second, so that one may be lost; a change must be in force within two seconds, of which this leaves a
-/// narrow link time to carry it.
-const COVERED_FOR: Duration = Duration::from_millis(1200);
-
-/// The text in force and what is known of its age.
+/// Older texts kept so that members can be sent a delta. A member is rarely more than two
+/// versions behind; at 150 KB a text, these take less than half a megabyte.
+const KEPT_OLDER_TEXTS: usize = 3;
+/// Time after a follower's heartbeat in which this daemon leaves the store to the
+/// followers. Heartbeats come twice a second, so that one may be lost. A change must be
+/// in force within two seconds; this timeout leaves a narrow link time to carry the
+/// change.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1200);
+
+/// The document in force, the texts before it, and how current it is known to be.
+///
+/// A follower is a member that watches the key in the store.
 #[derive(Default)]
 pub struct DocumentState {
     inner: Mutex<Inner>,
@@ -29,25 +32,25 @@
 #[derive(Default)]
 struct Inner {
     version: Version,
-    /// Where the store has the text, as its position of the last change.
+    /// Revision at which the store last changed the text.
     revision: Revision,
     text: Bytes,
-    /// Texts before this one, newest last.
+    /// Texts of earlier versions, newest last.
     older: VecDeque<(Version, Bytes)>,
-    /// When the store last said that this is the newest version, here or to a
-    /// member that passed it on.
+    /// When the store last confirmed, to this daemon or to a follower, that no newer
+    /// version exists.
     confirmed: Option<Instant>,
-    /// When this daemon itself read the key first.
+    /// When this daemon first read the key.
     first_read: Option<Instant>,
     /// Since when a member is known to run a newer version.
-    behind: Option<Instant>,
-    /// When the last heartbeats of members that follow the store came.
+    behind_since: Option<Instant>,
+    /// When the last heartbeat of each follower arrived.
     heartbeats: HashMap<HostKey, Instant>,
 }
 
 impl DocumentState {
-    /// Takes a newer text in and runs `then` before anybody sees its version;
-    /// returns whether it is newer. The one before it is kept for members if
+    /// Installs a newer text and calls `activate` before its version can be seen here;
+    /// returns whether the text was newer. The text before it is kept for members if
     /// `keep_older`.
     pub fn install(
         &self,
@@ -55,51 +58,51 @@
         revision: Revision,
         text: Bytes,
         keep_older: bool,
-        then: impl FnOnce(),
+        activate: impl FnOnce(),
     ) -> bool {
         let mut inner = lock(&self.inner);
         if version <= inner.version {
             return false;
         }
-        then();
+        activate();
         let old = (inner.version, std::mem::replace(&mut inner.text, text));
         if old.0 > 0 && keep_older {
             inner.older.push_back(old);
         }
-        while inner.older.len() > OLDER_KEPT {
+        while inner.older.len() > KEPT_OLDER_TEXTS {
             inner.older.pop_front();
         }
         inner.version = version;
         inner.revision = revision;
-        inner.behind = None;
+        inner.behind_since = None;
         true
     }
 
-    /// Returns its version, zero before the first.
+    /// Returns the version in force, zero before the first.
     pub fn version(&self) -> Version {
         lock(&self.inner).version
     }
 
-    /// Returns where the store has it, zero before the first.
+    /// Returns the revision of the text in force, zero before the first.
     pub fn revision(&self) -> Revision {
         lock(&self.inner).revision
     }
 
-    /// Returns its version and text.
-    pub fn held(&self) -> (Version, Bytes) {
+    /// Returns the version in force and its text.
+    pub fn version_and_text(&self) -> (Version, Bytes) {
         let inner = lock(&self.inner);
         (inner.version, inner.text.clone())
     }
 
-    /// Returns whether the store said within a time that this is the newest
-    /// version.
-    pub fn is_fresh(&self, now: Instant, time: Duration) -> bool {
+    /// Returns whether the store confirmed within `max_age` that no newer version exists.
+    pub fn was_confirmed_within(&self, now: Instant, max_age: Duration) -> bool {
         let confirmed = lock(&self.inner).confirmed;
-        confirmed.is_some_and(|at| now.saturating_duration_since(at) <= time)
+        confirmed.is_some_and(|at| now.saturating_duration_since(at) <= max_age)
     }
 
-    /// Returns what a member that holds `held` needs: what differs, or the whole
-    /// where that version is not kept here.
+    /// Returns the update for a member that holds version `held`: a delta, or the
+    /// complete text if that version is not kept here; `None` if there is no newer
+    /// version.
     pub fn update_for(&self, held: Version) -> Option<Update> {
         let (version, revision, text, old) = {
             let inner = lock(&self.inner);
@@ -116,74 +119,78 @@
         Some(Update { version, revision, body })
     }
 
-    /// Notes that this daemon has read the key for the first time.
-    pub fn note_first_reading(&self, now: Instant) {
+    /// Records that this daemon has read the key for the first time, which also confirms
+    /// the version in force.
+    pub fn note_first_read(&self, now: Instant) {
         let mut inner = lock(&self.inner);
         inner.first_read = Some(now);
         inner.confirmed = Some(now);
     }
 
-    /// Returns whether that was within a time.
-    pub fn was_just_read(&self, now: Instant, time: Duration) -> bool {
+    /// Returns whether this daemon first read the key within `max_age`.
+    pub fn was_first_read_within(&self, now: Instant, max_age: Duration) -> bool {
         let at = lock(&self.inner).first_read;
-        at.is_some_and(|at| now.saturating_duration_since(at) <= time)
+        at.is_some_and(|at| now.saturating_duration_since(at) <= max_age)
     }
 
-    /// Notes that the store has no newer version than the one in force.
+    /// Records that the store has no newer version than the one in force.
     pub fn confirm(&self, now: Instant) {
         lock(&self.inner).confirmed = Some(now);
     }
 
-    /// Notes that the store cannot be asked, so that there may be a newer version.
-    pub fn doubt(&self) {
+    /// Records that the store is unavailable, so that a newer version may exist.
+    pub fn unconfirm(&self) {
         lock(&self.inner).confirmed = None;
     }
 
-    /// Takes in that a member which follows the store runs a version.
+    /// Records the heartbeat of a follower that runs `version`. It confirms the version
+    /// in force, unless the follower runs a newer one.
     pub fn record_heartbeat(&self, member: HostKey, version: Version, now: Instant) {
         let mut inner = lock(&self.inner);
-        inner.heartbeats.retain(|_, at| now.saturating_duration_since(*at) <= COVERED_FOR);
+        inner.heartbeats.retain(|_, at| now.saturating_duration_since(*at) <= HEARTBEAT_TIMEOUT);
         inner.heartbeats.insert(member, now);
         if version <= inner.version {
             inner.confirmed = Some(now);
         }
     }
 
-    /// Returns whether a member that follows the store sent a heartbeat lately.
-    pub fn is_covered(&self, now: Instant) -> bool {
-        let is_recent = |at: &Instant| now.saturating_duration_since(*at) <= COVERED_FOR;
+    /// Returns whether any follower sent a heartbeat within the heartbeat timeout.
+    pub fn has_live_follower(&self, now: Instant) -> bool {
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) <= HEARTBEAT_TIMEOUT;
         lock(&self.inner).heartbeats.values().any(is_recent)
     }
 
-    /// Returns whether this member, which follows the store, sent a heartbeat lately.
-    pub fn is_covered_by(&self, member: HostKey, now: Instant) -> bool {
+    /// Returns whether this follower sent a heartbeat within the heartbeat timeout.
+    pub fn is_follower_live(&self, member: HostKey, now: Instant) -> bool {
         let at = lock(&self.inner).heartbeats.get(&member).copied();
-        at.is_some_and(|at| now.saturating_duration_since(at) <= COVERED_FOR)
+        at.is_some_and(|at| now.saturating_duration_since(at) <= HEARTBEAT_TIMEOUT)
     }
 
-    /// Notes that a member runs a version; returns for how long a newer one than that
-    /// in force is known, or `None` if it is none.
+    /// Records that a member runs `version`. Returns for how long a version newer than
+    /// the one in force has been known, or `None` if `version` is not newer.
     ///
-    /// Failure: a heartbeat is taken in after the version that it told of came into
-    /// force by another way. Symptom: the daemon believes itself behind until the next
-    /// version, and refuses what it could answer. So the versions are compared here.
-    pub fn behind_for(&self, version: Version, now: Instant) -> Option<Duration> {
+    /// The versions are compared under the lock, since a heartbeat may be handled after
+    /// the version that it names came into force by another way. Otherwise the daemon
+    /// would consider itself behind until the next version, and refuse calls that it
+    /// could answer.
+    pub fn note_member_version(&self, version: Version, now: Instant) -> Option<Duration> {
         let mut inner = lock(&self.inner);
         if version <= inner.version {
             return None;
         }
-        let since = *inner.behind.get_or_insert(now);
+        let since = *inner.behind_since.get_or_insert(now);
         Some(now.saturating_duration_since(since))
     }
 
-    /// Returns whether the store said within a time that this is the newest
-    /// version, and no member runs a newer one.
-    pub fn is_current(&self, now: Instant, time: Duration) -> bool {
-        let is_behind = lock(&self.inner).behind.is_some();
-        !is_behind && self.is_fresh(now, time)
+    /// Returns whether the store confirmed within `max_age` that no newer version exists,
+    /// and no member is known to run one.
+    pub fn is_current(&self, now: Instant, max_age: Duration) -> bool {
+        let is_behind = lock(&self.inner).behind_since.is_some();
+        !is_behind && self.was_confirmed_within(now, max_age)
     }
 
-    /// Returns how long ago the store said so, in milliseconds.
+    /// Returns how long ago the store last confirmed the version in force, in
+    /// milliseconds.
     pub fn confirmed_age_ms(&self, now: Instant) -> Option<u64> {
         let confirmed = lock(&self.inner).confirmed;
         confirmed.map(|at| now.saturating_duration_since(at).as_millis() as u64)
--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -1,18 +1,18 @@
-//! Whom to ask for versions and the objects that they are made of.
+//! Peers to ask for versions and for the objects that versions consist of.
 
 use super::{Daemon, peers};
 use cicadashift_core::ids::Version;
-use cicadashift_wire::rpc::{Request as Ask, Response, VersionRef};
+use cicadashift_wire::rpc::{Request, Response, VersionRef};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for one question.
-const ASK_TIME: Duration = Duration::from_millis(500);
-/// Peers asked for objects besides the reader.
-const PEERS: usize = 3;
+/// Time limit of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Peers of the own failure domain asked for objects besides the reader.
+const PEERS_BESIDES_READER: usize = 3;
 
-/// Where objects come from.
+/// Where a daemon fetches objects from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ObjectSource {
     /// The platform; only readers use it.
@@ -21,33 +21,35 @@
     Peers(Vec<SocketAddr>),
 }
 
-/// Returns whom to ask for objects: the reader, then some members.
+/// Returns the peers to ask for objects: the reader of the own failure domain, some other
+/// members, then the readers of other failure domains.
 pub fn object_peers(d: &Daemon) -> ObjectSource {
     let mut others = d.members.others();
     fastrand::shuffle(&mut others);
     others.sort_by_key(|host| !d.members.get(*host).is_some_and(|record| record.reader));
-    others.truncate(PEERS + 1);
+    others.truncate(PEERS_BESIDES_READER + 1);
     let mut out: Vec<_> = others.iter().filter_map(|host| d.members.address(*host)).collect();
     out.extend(readers_of_other_domains(d));
     ObjectSource::Peers(out)
 }
 
-/// Returns a version's root by asking members for theirs.
+/// Returns the reference of a version from the first peer where the version is active, or
+/// else the reference known here.
 pub async fn find_version(d: &Arc<Daemon>, version: Version) -> Option<VersionRef> {
     let ObjectSource::Peers(peers) = object_peers(d) else { return None };
     for peer in peers {
-        let what = active_version_of(d, peer).await;
-        if what.is_some_and(|what| what.version == version) {
-            return what;
+        let version_ref = active_version_of(d, peer).await;
+        if version_ref.is_some_and(|version_ref| version_ref.version == version) {
+            return version_ref;
         }
     }
     d.versions.version_ref(version)
 }
 
-/// Returns the version that a peer runs.
+/// Returns the version that is active on a peer.
 pub async fn active_version_of(d: &Arc<Daemon>, to: SocketAddr) -> Option<VersionRef> {
-    match peers::ask(d, to, &Ask::Current, ASK_TIME).await {
-        Ok(Response::Version(what)) => what,
+    match peers::ask(d, to, &Request::Current, REQUEST_TIMEOUT).await {
+        Ok(Response::Version(version_ref)) => version_ref,
         _ => None,
     }
 }
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -1,19 +1,19 @@
-//! What a daemon tells of itself and of the fleet.
+//! Status of this daemon and of the fleet.
 
 use super::{Daemon, peers, quarantine as suspected};
 use cicadashift_core::membership::record::Record;
 use cicadashift_core::request::suspects::Standing;
 use cicadashift_http::exec;
-use cicadashift_wire::rpc::{Request as Ask, Response};
+use cicadashift_wire::rpc::{Request, Response};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Time for one daemon to answer.
-const ASK_TIME: Duration = Duration::from_millis(700);
+/// Time limit for the answer of one daemon.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Returns what this daemon knows of itself.
+/// Returns the status of this daemon.
 pub fn own(d: &Daemon) -> Value {
     let own = d.members.own();
     let versions = d.versions.summary();
@@ -61,7 +61,7 @@
         "floor": versions.floor,
         "newest": versions.newest,
         "selected": versions.selected,
-        "bad": versions.bad,
+        "bad": versions.rejected,
         "waiting": versions.waiting,
         "objects": versions.objects.0,
         "object_bytes": versions.objects.1,
@@ -76,7 +76,7 @@
     })
 }
 
-/// Returns the rollouts that are known here.
+/// Returns the rollouts known to this daemon.
 pub fn rollouts(d: &Daemon) -> Value {
     let stages = d.rollouts.stages().into_iter().map(|stage| {
         json!({
@@ -91,8 +91,8 @@
     stages.collect::<Vec<_>>().into()
 }
 
-/// Returns the calls that are suspected of ending upstreams, and for how long each is
-/// sent to none.
+/// Returns the calls suspected of ending upstreams, and for how long each of them remains
+/// quarantined.
 pub fn quarantine(d: &Daemon) -> Value {
     let rows = suspected::all(d).into_iter().filter(|suspicion| suspicion.count() > 0);
     rows.map(|suspicion| {
@@ -110,23 +110,23 @@
     .into()
 }
 
-/// Returns what every daemon known tells of itself, asked now.
+/// Returns the status of every known daemon, requested now.
 ///
-/// A daemon that does not answer is listed with what membership last knew and
-/// with `"answered": false`, so that an operator sees how old each part is.
+/// A daemon that does not answer is listed with its last membership record and
+/// `"answered": false`, so that an operator sees which parts may be out of date.
 pub async fn fleet(d: &Arc<Daemon>) -> Value {
-    let mut hosts = vec![answered(own(d))];
-    hosts.extend(ask_others(d, Ask::Status).await);
+    let mut hosts = vec![mark_answered(own(d))];
+    hosts.extend(ask_others(d, Request::Status).await);
     hosts.sort_by_key(|host| (host["domain"].to_string(), host["host"].to_string()));
     json!({"asked": d.settings.host, "at_ms": d.clock.wall_ms(), "hosts": hosts})
 }
 
-/// Asks all other daemons known at once.
-pub async fn ask_others(d: &Arc<Daemon>, ask: Ask) -> Vec<Value> {
+/// Sends a request to all other known daemons at once, and returns their answers.
+pub async fn ask_others(d: &Arc<Daemon>, request: Request) -> Vec<Value> {
     let others = d.members.all().into_iter().filter(|record| record.host != d.me);
     let ask_one = |record| {
-        let (d, ask) = (d.clone(), ask.clone());
-        exec::spawn(async move { one(&d, record, &ask).await })
+        let (d, request) = (d.clone(), request.clone());
+        exec::spawn(async move { request_json(&d, record, &request).await })
     };
     let tasks: Vec<_> = others.map(ask_one).collect();
     let mut answers = Vec::new();
@@ -136,11 +136,11 @@
     answers
 }
 
-async fn one(d: &Arc<Daemon>, record: Record, ask: &Ask) -> Value {
+async fn request_json(d: &Arc<Daemon>, record: Record, request: &Request) -> Value {
     if record.is_live() {
         if let Some(to) = d.members.address(record.host) {
-            if let Ok(Response::Status(text)) = peers::ask(d, to, ask, ASK_TIME).await {
-                return answered(serde_json::from_str(&text).unwrap_or_default());
+            if let Ok(Response::Status(text)) = peers::ask(d, to, request, REQUEST_TIMEOUT).await {
+                return mark_answered(serde_json::from_str(&text).unwrap_or_default());
             }
         }
     }
@@ -153,7 +153,7 @@
     })
 }
 
-fn answered(mut status: Value) -> Value {
+fn mark_answered(mut status: Value) -> Value {
     status["answered"] = json!(true);
     status
 }
--- a/src/daemon/versions.rs
+++ b/src/daemon/versions.rs
@@ -1,4 +1,4 @@
-//! The configuration path's state: what is held, promised and run.
+//! Configuration versions of one daemon: those held, promised and in force.
 
 use super::document::DocumentState;
 use super::lock;
@@ -18,21 +18,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, RwLock};
 
-/// Versions whose objects are kept beside the one that runs.
-const KEPT: usize = 3;
-/// Largest page, in bytes, that travels with an offer.
-const NEWS_PAGE: usize = 2048;
-/// Bad versions that are remembered for `status`.
-const BAD_KEPT: usize = 16;
+/// Number of versions, the newest ones, whose objects are kept.
+const KEPT_VERSIONS: usize = 3;
+/// Largest page, in bytes, that is sent along with an offer.
+const MAX_DELTA_PAGE: usize = 2048;
+/// Rejected versions remembered for `status`.
+const MAX_REJECTED: usize = 16;
 
-/// What a proxy runs.
+/// The configuration that a proxy runs.
 #[derive(Debug, Default)]
 pub struct RunningConfig {
-    /// Its routes; empty at version zero.
+    /// Routing table; empty at version zero.
     pub table: RoutingTable,
-    /// Ids of the configurations in it.
+    /// Ids of the configurations in the table.
     pub selected: Vec<String>,
-    /// Paths by which upstreams tell how they are, by service.
+    /// Paths at which upstreams report their health, by service.
     pub health_paths: BTreeMap<String, String>,
     /// When it came into force, in milliseconds since 1970.
     pub since_ms: u64,
@@ -44,12 +44,12 @@
     refs: BTreeMap<Version, VersionRef>,
     staged: BTreeMap<Version, Staged>,
     objects: BTreeMap<Version, BTreeSet<ObjectHash>>,
-    bad: BTreeMap<Version, String>,
+    rejected: BTreeMap<Version, String>,
     waiting: BTreeMap<Version, String>,
-    whole: Version,
+    newest_complete: Version,
 }
 
-/// What `status` tells of versions.
+/// State of versions as `status` reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
     /// Version in force here.
@@ -58,33 +58,33 @@
     pub active: Version,
     /// Highest version held.
     pub held: Version,
-    /// Version not to fall below, once known.
+    /// Version that this daemon must not fall below, once known.
     pub floor: Option<Version>,
-    /// Newest version heard of.
+    /// Newest version known.
     pub newest: Version,
-    /// Bad versions with the reason.
-    pub bad: BTreeMap<Version, String>,
-    /// Versions that wait, with what for.
+    /// Rejected versions with the reason.
+    pub rejected: BTreeMap<Version, String>,
+    /// Versions that are not in force yet, with what they wait for.
     pub waiting: BTreeMap<Version, String>,
     /// Ids of the configurations in force here.
     pub selected: Vec<String>,
-    /// When the version in force came into force, in milliseconds since 1970.
+    /// When the running version came into force, in milliseconds since 1970.
     pub since_ms: u64,
-    /// Objects held, and their bytes.
+    /// Number of objects held, and their size in bytes.
     pub objects: (usize, usize),
 }
 
-/// The configuration path's state of one daemon.
+/// State of configuration versions on one daemon.
 pub struct Versions {
     clock: Arc<dyn Clock>,
     inner: Mutex<Inner>,
     running: RwLock<Arc<RunningConfig>>,
-    /// The configuration where it comes whole from one key of the store.
+    /// The configuration document, where the store holds it complete under one key.
     pub document: DocumentState,
 }
 
 impl Versions {
-    /// Makes the state of a daemon that knows nothing.
+    /// Creates the state of a daemon that has no version yet.
     pub fn new(
         settings: &Settings,
         me: HostKey,
@@ -98,18 +98,18 @@
             refs: BTreeMap::new(),
             staged: BTreeMap::new(),
             objects: BTreeMap::new(),
-            bad: BTreeMap::new(),
+            rejected: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            whole: 0,
+            newest_complete: 0,
         };
         let document = DocumentState::default();
         Versions { clock, inner: Mutex::new(inner), running: RwLock::default(), document }
     }
 
-    /// Puts a whole document in force if it is newer; returns whether it was.
+    /// Puts a complete document in force if it is newer; returns whether it was.
     ///
-    /// `text` is kept for members that do not read it from the store, and the one
-    /// before it if `keep_older`.
+    /// `text` is kept for members that do not read it from the store, and the text before
+    /// it if `keep_older`.
     pub fn install(
         &self,
         running: RunningConfig,
@@ -124,52 +124,53 @@
         })
     }
 
-    /// Returns the path by which a service's upstreams tell how they are.
+    /// Returns the path at which a service's upstreams report their health.
     pub fn health_path(&self, service: &str) -> Option<String> {
         self.running().health_paths.get(service).cloned()
     }
 
-    /// Returns what runs now.
+    /// Returns the configuration in force.
     pub fn running(&self) -> Arc<RunningConfig> {
         self.running.read().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 
-    /// Takes an event in; swaps the running table if that is decided.
+    /// Passes an event to the state machine, and installs the version that it decides to
+    /// run, if any.
     ///
-    /// Returns the actions that remain for the caller to do.
+    /// Returns the actions; the caller performs those that remain.
     pub fn on(&self, event: Event) -> Vec<Action> {
         let mut inner = lock(&self.inner);
         let actions = inner.node.on(event);
         for action in &actions {
             if let Action::Run(version) = action {
-                self.swap(&mut inner, *version);
+                self.install_staged(&mut inner, *version);
             }
         }
         actions
     }
 
-    /// Remembers a version's root.
-    pub fn add_version_ref(&self, what: VersionRef) {
-        lock(&self.inner).refs.insert(what.version, what);
+    /// Remembers the reference of a version.
+    pub fn add_version_ref(&self, version_ref: VersionRef) {
+        lock(&self.inner).refs.insert(version_ref.version, version_ref);
     }
 
-    /// Returns a version's root if it is known.
+    /// Returns the reference of a version, if known.
     pub fn version_ref(&self, version: Version) -> Option<VersionRef> {
         lock(&self.inner).refs.get(&version).copied()
     }
 
-    /// Returns the newest version heard of.
+    /// Returns the newest version known.
     pub fn newest(&self) -> Option<VersionRef> {
-        lock(&self.inner).refs.last_key_value().map(|(_, what)| *what)
+        lock(&self.inner).refs.last_key_value().map(|(_, version_ref)| *version_ref)
     }
 
-    /// Returns the newest version held with every object, as readers do.
+    /// Returns the newest version of which every object is held, as readers do.
     pub fn newest_complete(&self) -> Option<VersionRef> {
         let inner = lock(&self.inner);
-        inner.refs.get(&inner.whole).copied()
+        inner.refs.get(&inner.newest_complete).copied()
     }
 
-    /// Returns the version that is safe to run, if its root is known.
+    /// Returns the highest version that is safe to run, if its reference is known.
     pub fn active(&self) -> Option<VersionRef> {
         let inner = lock(&self.inner);
         inner.refs.get(&inner.node.active()).copied()
@@ -181,129 +182,134 @@
         document.max(lock(&self.inner).node.active())
     }
 
-    /// Returns the version not to fall below, once known.
+    /// Returns the version that this daemon must not fall below, once known.
     pub fn floor(&self) -> Option<Version> {
         lock(&self.inner).node.floor()
     }
 
-    /// Returns the number of this life, by which witnesses are asked.
+    /// Returns the incarnation that this daemon's questions to witnesses carry.
     pub fn incarnation(&self) -> Incarnation {
         lock(&self.inner).node.life()
     }
 
-    /// Returns the version that runs, zero before the first.
+    /// Returns the version in force, zero before the first.
     pub fn running_version(&self) -> Version {
         let document = self.document.version();
         document.max(lock(&self.inner).node.running())
     }
 
-    /// Returns whether a version is held whole or run already.
+    /// Returns whether a version is staged, or not newer than the one that runs.
     pub fn is_staged_or_running(&self, version: Version) -> bool {
         let inner = lock(&self.inner);
         version <= inner.node.running() || inner.staged.contains_key(&version)
     }
 
-    /// Returns what staging a version needs next.
+    /// Returns the next step of staging a version: the objects to fetch, or its table.
     ///
     /// # Errors
     ///
     /// Returns [`Bad`] where the version must not be run here.
     pub fn next_staging_step(
         &self,
-        what: VersionRef,
+        version_ref: VersionRef,
         proxy: &cicadashift_core::config::select::Proxy,
         scope: Scope,
     ) -> Result<Next, Bad> {
         let inner = lock(&self.inner);
-        stage::next(&inner.store, what.version, what.root, proxy, scope)
+        stage::next(&inner.store, version_ref.version, version_ref.root, proxy, scope)
     }
 
-    /// Returns every object of a version, if it is held whole.
+    /// Returns every object of a version, if it is the newest one held completely.
     pub fn objects_of(&self, version: Version) -> Option<BTreeSet<ObjectHash>> {
         let inner = lock(&self.inner);
-        if inner.whole != version {
+        if inner.newest_complete != version {
             return None;
         }
         inner.objects.get(&version).cloned()
     }
 
-    /// Takes an object in.
+    /// Stores an object.
     ///
     /// # Errors
     ///
-    /// Returns [`Rejected`] where the bytes are not the object.
+    /// Returns [`Rejected`] if the bytes are not the object that the hash names.
     pub fn put_object(&self, hash: ObjectHash, buf: Vec<u8>) -> Result<(), Rejected> {
         lock(&self.inner).store.put(hash, buf)
     }
 
-    /// Returns an object.
+    /// Returns an object, if held.
     pub fn object(&self, hash: ObjectHash) -> Option<Arc<Vec<u8>>> {
         lock(&self.inner).store.get(hash)
     }
 
-    /// Returns what is new in a version against the one held whole before it.
-    pub fn manifest_delta(&self, what: VersionRef) -> News {
+    /// Returns what changed in a version since the one before it that is known here;
+    /// empty if the root of either is not held.
+    pub fn manifest_delta(&self, version_ref: VersionRef) -> News {
         let inner = lock(&self.inner);
-        let before = inner.refs.range(..what.version).next_back().map(|(_, what)| what.root);
-        let base = before.and_then(|base| Some((base, inner.root(base)?)));
-        let (Some((base, old)), Some(new)) = (base, inner.root(what.root)) else {
+        let previous = inner
+            .refs
+            .range(..version_ref.version)
+            .next_back()
+            .map(|(_, version_ref)| version_ref.root);
+        let base = previous.and_then(|base| Some((base, inner.root(base)?)));
+        let (Some((base, old)), Some(new)) = (base, inner.root(version_ref.root)) else {
             return News::default();
         };
         let slots = new.changes_since(&old);
         let pages = slots.iter().filter_map(|(_, hash)| inner.store.get(*hash));
-        let small = pages.filter(|buf| buf.len() <= NEWS_PAGE);
+        let small = pages.filter(|buf| buf.len() <= MAX_DELTA_PAGE);
         let pages = small.map(|buf| ByteBuf::from(buf.as_ref().clone())).collect();
         News { base: Some(base), slots, pages }
     }
 
-    /// Takes in what came with an offer; what does not fit is left out and
-    /// fetched instead.
-    pub fn apply_manifest_delta(&self, what: VersionRef, news: &News) {
+    /// Stores the root and pages that a delta sent with an offer contains. Where the
+    /// delta does not apply it is ignored, and the objects are fetched instead.
+    pub fn apply_manifest_delta(&self, version_ref: VersionRef, delta: &News) {
         let mut inner = lock(&self.inner);
-        let Some(old) = news.base.and_then(|base| inner.root(base)) else { return };
-        let root = manifest::encode(&old.with_changes(what.version, &news.slots));
-        if inner.store.put(what.root, root).is_err() {
+        let Some(old) = delta.base.and_then(|base| inner.root(base)) else { return };
+        let root = manifest::encode(&old.with_changes(version_ref.version, &delta.slots));
+        if inner.store.put(version_ref.root, root).is_err() {
             return;
         }
-        for page in &news.pages {
-            let _named_by_its_contents = inner.store.put(ObjectHash::of(page), page.to_vec());
+        for page in &delta.pages {
+            let _hash_matches = inner.store.put(ObjectHash::of(page), page.to_vec());
         }
     }
 
-    /// Keeps a version that is staged, and tells the node.
-    pub fn add_staged(&self, what: VersionRef, staged: Staged, scope: Scope) -> Vec<Action> {
+    /// Adds a staged version and tells the state machine that it is held.
+    pub fn add_staged(&self, version_ref: VersionRef, staged: Staged, scope: Scope) -> Vec<Action> {
         {
             let mut inner = lock(&self.inner);
-            inner.refs.insert(what.version, what);
-            inner.objects.insert(what.version, staged.objects.clone());
-            inner.waiting.remove(&what.version);
+            inner.refs.insert(version_ref.version, version_ref);
+            inner.objects.insert(version_ref.version, staged.objects.clone());
+            inner.waiting.remove(&version_ref.version);
             if scope == Scope::Whole {
-                inner.whole = inner.whole.max(what.version);
+                inner.newest_complete = inner.newest_complete.max(version_ref.version);
             }
-            if what.version > inner.node.running() {
-                inner.staged.insert(what.version, staged);
+            if version_ref.version > inner.node.running() {
+                inner.staged.insert(version_ref.version, staged);
             }
-            inner.collect();
+            inner.drop_unreferenced();
         }
-        self.on(Event::Held(what.version))
+        self.on(Event::Held(version_ref.version))
     }
 
-    /// Remembers why a version is bad.
-    pub fn mark_rejected(&self, version: Version, why: String) {
+    /// Remembers why a version is rejected.
+    pub fn mark_rejected(&self, version: Version, reason: String) {
         let mut inner = lock(&self.inner);
         inner.waiting.remove(&version);
-        inner.bad.insert(version, why);
-        while inner.bad.len() > BAD_KEPT {
-            inner.bad.pop_first();
+        inner.rejected.insert(version, reason);
+        while inner.rejected.len() > MAX_REJECTED {
+            inner.rejected.pop_first();
         }
     }
 
     /// Remembers what a version waits for.
-    pub fn mark_waiting(&self, version: Version, what_for: String) {
-        lock(&self.inner).waiting.insert(version, what_for);
+    pub fn mark_waiting(&self, version: Version, reason: String) {
+        lock(&self.inner).waiting.insert(version, reason);
     }
 
-    /// Returns what `status` tells.
+    /// Returns the state of versions for `status`.
     pub fn summary(&self) -> Summary {
         let running = self.running();
         let document = self.document.version();
@@ -314,7 +320,7 @@
             held: document.max(inner.node.held()),
             floor: inner.node.floor(),
             newest: inner.refs.last_key_value().map_or(0, |(version, _)| *version),
-            bad: inner.bad.clone(),
+            rejected: inner.rejected.clone(),
             waiting: inner.waiting.clone(),
             selected: running.selected.clone(),
             since_ms: running.since_ms,
@@ -324,10 +330,10 @@
 
     /// Puts a staged version in force with one assignment.
     ///
-    /// Failure: a version is applied route by route and a call or a crash falls
-    /// in between. Symptom: half of a version answers. Calls take the whole
-    /// table once, at their start, so each sees one version.
-    fn swap(&self, inner: &mut Inner, version: Version) {
+    /// Calls take the table once, at their start, so that each call sees one version.
+    /// Were a version applied route by route, a call or a crash in between would leave it
+    /// half in force.
+    fn install_staged(&self, inner: &mut Inner, version: Version) {
         let Some(staged) = inner.staged.remove(&version) else { return };
         inner.staged = inner.staged.split_off(&version);
         inner.waiting = inner.waiting.split_off(&(version + 1));
@@ -349,23 +355,23 @@
         manifest::decode(&self.store.get(hash)?)
     }
 
-    /// Drops objects that no version kept here names.
-    fn collect(&mut self) {
-        while self.objects.len() > KEPT {
+    /// Drops the objects and references of versions that are no longer kept.
+    fn drop_unreferenced(&mut self) {
+        while self.objects.len() > KEPT_VERSIONS {
             self.objects.pop_first();
         }
         if let Some(first) = self.objects.first_key_value().map(|(version, _)| *version) {
             self.refs = self.refs.split_off(&first);
         }
         let keep: BTreeSet<_> = self.objects.values().flatten().copied().collect();
-        // Staging fetches objects before the version that names them is held;
-        // those must survive the collection that another version starts.
-        let unnamed = self.store.size().0.saturating_sub(keep.len());
-        if unnamed > MAX_UNNAMED {
+        // Staging fetches objects before the version that references them is held. Those
+        // objects must survive the collection that another version triggers.
+        let unreferenced = self.store.size().0.saturating_sub(keep.len());
+        if unreferenced > MAX_UNREFERENCED {
             self.store.retain(&keep);
         }
     }
 }
 
-/// Objects in the store that no held version names before they are dropped.
-const MAX_UNNAMED: usize = 256;
+/// Objects that no kept version references are dropped once there are more than this.
+const MAX_UNREFERENCED: usize = 256;
