--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -1,16 +1,16 @@
-//! Finding the other daemons through the store.
+//! Discovery of the other daemons through the store.
 //!
-//! A few daemons of each failure domain, those with the widest links, keep an entry
-//! there under a lease. One that starts reads the entries, asks one of these daemons
-//! for its table and is a member from then on; all else daemons hear from each other.
-//! Where nobody is found, each of them waits for its turn and then writes an entry
-//! itself, so that of hundreds that start at once a handful does. Those that keep
-//! entries read the others' now and then, so that groups that lost each other find
-//! together. An entry that is missing proves nothing: leases end while the store is
-//! away.
+//! A few daemons of each failure domain, those with the widest links, keep an entry in
+//! the store under a lease. A daemon that starts reads the entries, asks one of these
+//! daemons for its membership table and is a member from then on; daemons learn
+//! everything else from each other. A daemon that finds no other waits for a random delay
+//! before it writes an entry itself, so that only a handful of hundreds that start at
+//! once write one. Daemons that keep entries read those of the others from time to time,
+//! so that groups separated by a partition find each other again. A missing entry does
+//! not mean that its daemon is dead: leases expire while the store is unavailable.
 //!
-//! Calls to the store grow with starts, by a tenth of a current reading each, and not
-//! with the number of daemons.
+//! The cost in calls to the store grows with starts, by a tenth of a current read each,
+//! and not with the number of daemons.
 
 use super::{Daemon, catch_up, lock};
 use crate::store::{Lease, Pair, Platform, PlatformError, Swap, keys};
@@ -21,120 +21,122 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Time that an entry outlives its daemon.
-const LEASE_TIME: Duration = Duration::from_secs(10);
-/// Time between two renewals; two may fail before the entry ends.
-const RENEW_EVERY: Duration = Duration::from_millis(3000);
-/// Pause after the store failed; an entry is to be back within two seconds of
-/// the store's return.
-const RETRY: Duration = Duration::from_millis(500);
-/// Time between two readings while nobody is found; it grows by half with each.
-const ALONE_EVERY: Duration = Duration::from_millis(150);
-/// Longest time between two readings while nobody is found.
-const ALONE_MOST: Duration = Duration::from_millis(1500);
-/// Longest time that a daemon which finds nobody waits for its turn to write an entry.
-/// Of hundreds that start at once only a handful is to write one.
-const TURN_MOST: Duration = Duration::from_millis(2000);
-/// Megabits a second of a link from which on its daemon waits less for its turn, since
-/// others will ask it for the whole table.
-const WIDE_MBPS: f64 = 20.0;
-/// Time after a start in which a daemon compares tables with one that it found, each
-/// time after twice the time: the others may still be starting.
-const SETTLING: Duration = Duration::from_secs(4);
-/// First of those times.
-const SETTLE_FIRST: Duration = Duration::from_millis(300);
-/// Time between two readings of a daemon that keeps an entry.
-const READ_EVERY: Duration = Duration::from_secs(5);
-/// How old a reading may be. Readings are allowed to be old, since they cost a tenth; a
-/// daemon that misses its own entry in one waits for so long before it believes it.
-const OLD_MOST: Duration = Duration::from_secs(5);
-/// How long a daemon must have been one of those that keep entries before it writes
-/// one, once it has found others: tables differ for a moment after a start.
-const KEEPER_FOR: Duration = Duration::from_millis(700);
-/// Strangers asked after one reading.
-const ASKED: usize = 3;
-/// Time between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(100);
-/// The same once there are others.
-const QUIET_LOOK: Duration = Duration::from_millis(400);
+/// Time after a daemon's last renewal at which its entry expires.
+const LEASE_TTL: Duration = Duration::from_secs(10);
+/// Time between two renewals; two may fail before the entry expires.
+const RENEW_INTERVAL: Duration = Duration::from_millis(3000);
+/// Pause after the store failed; an entry must be back within two seconds of the store's
+/// return.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// First time between two reads while no other daemon is known; it grows by half with
+/// each read.
+const ALONE_READ_INTERVAL: Duration = Duration::from_millis(150);
+/// Longest time between two reads while no other daemon is known.
+const MAX_ALONE_READ_INTERVAL: Duration = Duration::from_millis(1500);
+/// Longest time that a daemon waits before it writes its first entry. The wait is random,
+/// so that only a handful of hundreds that start at once write one.
+const MAX_FIRST_WRITE_DELAY: Duration = Duration::from_millis(2000);
+/// Width of a link in Mbit/s above which its daemon waits less before its first entry,
+/// since others will ask it for the whole table.
+const WIDE_LINK_MBPS: f64 = 20.0;
+/// Time after a start in which a daemon compares tables with one that it found, at
+/// intervals that double, since others may still be starting.
+const STARTUP_SYNC_TIME: Duration = Duration::from_secs(4);
+/// First of these intervals.
+const FIRST_SYNC_DELAY: Duration = Duration::from_millis(300);
+/// Time between two reads by a daemon that keeps an entry.
+const READ_INTERVAL: Duration = Duration::from_secs(5);
+/// Greatest age of a read. Stale reads are used since they cost a tenth of a current one;
+/// a daemon that does not find its own entry takes it as missing only this long after it
+/// wrote the entry.
+const MAX_STALENESS: Duration = Duration::from_secs(5);
+/// Time for which a daemon must have been eligible to keep an entry before it writes one,
+/// once it knows others: tables differ for a moment after a start.
+const MIN_ELIGIBLE_TIME: Duration = Duration::from_millis(700);
+/// Unknown daemons asked after one read.
+const MAX_SYNC_PEERS: usize = 3;
+/// Time between two rounds while no other daemon is known.
+const ALONE_ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two rounds once others are known.
+const ROUND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What a daemon's entry holds.
+/// Value of a daemon's entry in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Entry {
     mesh: SocketAddr,
     domain: String,
 }
 
-/// Finds the others and keeps this daemon's entry where it is its turn, until
+/// Finds the other daemons, and keeps this daemon's entry while it should have one, until
 /// cancelled.
 pub async fn run(d: Arc<Daemon>) {
     let mut state = State::new(&d);
-    let mut reached = true;
+    let mut available = true;
     loop {
         let result = state.round(&d).await;
-        tell(&result, &mut reached);
+        log_store_state(&result, &mut available);
         let pause = match (result, d.members.live_count()) {
-            (Err(_), _) => RETRY,
-            (Ok(()), 1) => LOOK,
-            (Ok(()), _) => QUIET_LOOK,
+            (Err(_), _) => RETRY_PAUSE,
+            (Ok(()), 1) => ALONE_ROUND_INTERVAL,
+            (Ok(()), _) => ROUND_INTERVAL,
         };
         smol::Timer::after(pause.mul_f64(0.8 + 0.4 * fastrand::f64())).await;
     }
 }
 
-/// Takes this daemon's entry away, so that nobody looks for it any more.
+/// Removes this daemon's entry, so that starting daemons do not ask it.
 pub async fn remove_entry(d: &Daemon) {
     let lease = lock(&d.entry_lease).take();
     if let Some(lease) = lease {
-        // The store may be away; the entry then ends with its lease.
+        // The store may be unavailable; the entry then expires with its lease.
         let _ended = d.platform.revoke(lease).await;
     }
 }
 
-fn tell(result: &Result<(), PlatformError>, reached: &mut bool) {
+fn log_store_state(result: &Result<(), PlatformError>, available: &mut bool) {
     match result {
-        Err(err) if *reached => log::warn!("discovery: the store is lost: {err}"),
-        Ok(()) if !*reached => log::info!("discovery: the store is back"),
+        Err(err) if *available => log::warn!("discovery: the store is unavailable: {err}"),
+        Ok(()) if !*available => log::info!("discovery: the store is available again"),
         _ => {}
     }
-    *reached = result.is_ok();
+    *available = result.is_ok();
 }
 
-/// Where this daemon stands.
+/// State of discovery at this daemon.
 struct State {
     started: Instant,
-    /// When it may write an entry although it found nobody.
-    turn: Instant,
+    /// Earliest time at which this daemon may write an entry.
+    first_write_at: Instant,
     next_read: Instant,
-    pause: Duration,
-    /// Since when it is one of those that keep entries.
-    keeper_since: Option<Instant>,
+    alone_interval: Duration,
+    /// Since when this daemon is eligible to keep an entry.
+    eligible_since: Option<Instant>,
     written: Option<Instant>,
     renewed: Option<Instant>,
-    /// The store's era that the entry was written in.
+    /// The store's era in the last round.
     era: Option<u64>,
-    /// Whom it compares tables with while it settles, and when next.
-    settles_with: Option<SocketAddr>,
-    next_compare: Instant,
+    /// Daemon to compare tables with after a start, and when to do so next.
+    startup_peer: Option<SocketAddr>,
+    next_sync: Instant,
 }
 
 impl State {
     fn new(d: &Daemon) -> State {
         let now = d.clock.now();
-        let mbps = d.settings.link_mbps.unwrap_or(WIDE_MBPS);
-        let width = (WIDE_MBPS / mbps).clamp(0.25, 1.0);
-        let share = 0.1 + 0.9 * fastrand::f64();
+        let mbps = d.settings.link_mbps.unwrap_or(WIDE_LINK_MBPS);
+        let scale = (WIDE_LINK_MBPS / mbps).clamp(0.25, 1.0);
+        let fraction = 0.1 + 0.9 * fastrand::f64();
         State {
             started: now,
-            turn: now + TURN_MOST.mul_f64(share * width),
+            first_write_at: now + MAX_FIRST_WRITE_DELAY.mul_f64(fraction * scale),
             next_read: now,
-            pause: ALONE_EVERY,
-            keeper_since: None,
+            alone_interval: ALONE_READ_INTERVAL,
+            eligible_since: None,
             written: None,
             renewed: None,
             era: None,
-            settles_with: None,
-            next_compare: now,
+            startup_peer: None,
+            next_sync: now,
         }
     }
 
@@ -142,106 +144,106 @@
         if d.is_leaving() {
             return Ok(());
         }
-        self.settle(d).await;
-        self.note_era(d);
+        self.sync_at_startup(d).await;
+        self.check_era(d);
         let now = d.clock.now();
         let is_alone = d.members.live_count() == 1;
-        let keeps = self.keeps(d, now, is_alone);
-        if (is_alone || keeps) && now >= self.next_read {
-            let own_is_there = self.read(d).await?;
-            let is_old = self.written.is_some_and(|at| d.clock.now() > at + OLD_MOST);
-            if keeps && !own_is_there && is_old {
-                // Failure: the store took the entry away although its lease runs on.
-                // Symptom: daemons that start later never hear of this one. It is
-                // written again under a new lease.
-                self.forget(d);
+        let should_keep_entry = self.should_keep_entry(d, now, is_alone);
+        if (is_alone || should_keep_entry) && now >= self.next_read {
+            let is_own_listed = self.read_entries(d).await?;
+            let must_be_listed = self.written.is_some_and(|at| d.clock.now() > at + MAX_STALENESS);
+            if should_keep_entry && !is_own_listed && must_be_listed {
+                // The store removed the entry although its lease still runs. Daemons that
+                // start later would not find this one, so the entry is written again
+                // under a new lease.
+                self.forget_lease(d);
             }
-            self.plan_next(d.clock.now(), d.members.live_count() == 1);
+            self.schedule_read(d.clock.now(), d.members.live_count() == 1);
         }
-        match keeps && self.is_due(d.clock.now()) {
+        match should_keep_entry && self.is_renewal_due(d.clock.now()) {
             true => self.renew(d).await,
             false => Ok(()),
         }
     }
 
-    /// Returns whether this daemon is to keep an entry now.
-    fn keeps(&mut self, d: &Daemon, now: Instant, is_alone: bool) -> bool {
+    /// Returns whether this daemon should keep an entry now.
+    fn should_keep_entry(&mut self, d: &Daemon, now: Instant, is_alone: bool) -> bool {
         if !d.members.keeps_entry() {
-            self.keeper_since = None;
+            self.eligible_since = None;
             return false;
         }
-        let since = *self.keeper_since.get_or_insert(now);
-        let has_waited = is_alone || self.written.is_some() || now >= since + KEEPER_FOR;
-        now >= self.turn && has_waited
+        let since = *self.eligible_since.get_or_insert(now);
+        let has_waited = is_alone || self.written.is_some() || now >= since + MIN_ELIGIBLE_TIME;
+        now >= self.first_write_at && has_waited
     }
 
-    fn plan_next(&mut self, now: Instant, is_alone: bool) {
+    fn schedule_read(&mut self, now: Instant, is_alone: bool) {
         let pause = match is_alone {
-            true => self.pause,
-            false => READ_EVERY,
+            true => self.alone_interval,
+            false => READ_INTERVAL,
         };
-        self.pause = self.pause.mul_f64(1.5).min(ALONE_MOST);
+        self.alone_interval = self.alone_interval.mul_f64(1.5).min(MAX_ALONE_READ_INTERVAL);
         self.next_read = now + pause.mul_f64(0.8 + 0.4 * fastrand::f64());
     }
 
-    /// Compares tables with a daemon that was found, while others are starting too.
-    async fn settle(&mut self, d: &Arc<Daemon>) {
+    /// Compares tables with a daemon that was found, while others may still be starting.
+    async fn sync_at_startup(&mut self, d: &Arc<Daemon>) {
         let now = d.clock.now();
-        let Some(to) = self.settles_with.filter(|_| now >= self.next_compare) else { return };
+        let Some(to) = self.startup_peer.filter(|_| now >= self.next_sync) else { return };
         let age = now.saturating_duration_since(self.started);
-        if age > SETTLING {
-            self.settles_with = None;
+        if age > STARTUP_SYNC_TIME {
+            self.startup_peer = None;
             return;
         }
-        self.next_compare = now + age.max(SETTLE_FIRST);
+        self.next_sync = now + age.max(FIRST_SYNC_DELAY);
         if !catch_up::sync_with(d, to).await {
-            self.settles_with = None;
+            self.startup_peer = None;
         }
     }
 
-    /// Reads the entries and asks strangers among them for their tables, those of the
-    /// own failure domain first; returns whether this daemon's own is there.
-    async fn read(&mut self, d: &Arc<Daemon>) -> Result<bool, PlatformError> {
+    /// Reads the entries and compares tables with unknown daemons among them, those of
+    /// the own failure domain first; returns whether this daemon's own entry is listed.
+    async fn read_entries(&mut self, d: &Arc<Daemon>) -> Result<bool, PlatformError> {
         let pairs = d.platform.list_maybe_old(keys::DAEMONS).await?;
         let own_key = keys::daemon(&d.settings.host);
-        let own_is_there = pairs.iter().any(|pair| pair.key == own_key);
+        let is_own_listed = pairs.iter().any(|pair| pair.key == own_key);
         let others = pairs.iter().filter(|pair| pair.key != own_key).filter_map(decode);
-        let is_stranger = |entry: &Entry| !d.members.is_live_at(entry.mesh);
-        let mut strangers: Vec<Entry> = others.filter(is_stranger).collect();
-        fastrand::shuffle(&mut strangers);
+        let is_unknown = |entry: &Entry| !d.members.is_live_at(entry.mesh);
+        let mut unknown: Vec<Entry> = others.filter(is_unknown).collect();
+        fastrand::shuffle(&mut unknown);
         let was_alone = d.members.live_count() == 1;
-        let (near, far): (Vec<_>, Vec<_>) =
-            strangers.into_iter().partition(|entry| entry.domain == d.settings.failure_domain);
-        let found = match first_answer(d, &near).await {
+        let (same_domain, other_domains): (Vec<_>, Vec<_>) =
+            unknown.into_iter().partition(|entry| entry.domain == d.settings.failure_domain);
+        let found = match sync_with_any(d, &same_domain).await {
             Some(found) => Some(found),
-            None => first_answer(d, &far).await,
+            None => sync_with_any(d, &other_domains).await,
         };
         if was_alone {
-            self.settles_with = found;
-            self.next_compare = d.clock.now() + SETTLE_FIRST;
+            self.startup_peer = found;
+            self.next_sync = d.clock.now() + FIRST_SYNC_DELAY;
         }
         d.joined.store(true, Ordering::Relaxed);
-        Ok(own_is_there)
+        Ok(is_own_listed)
     }
 
-    /// Writes the entry again where the store came back from a copy.
+    /// Has the entry written again after the store was restored from a copy.
     ///
-    /// Failure: entry and lease are gone, or the lease's number is somebody else's.
-    /// Symptom: daemons that start find nobody until the next renewal.
-    fn note_era(&mut self, d: &Daemon) {
+    /// The entry and its lease are then gone, or the lease's id belongs to another
+    /// daemon. Until the next renewal, daemons that start would find no other.
+    fn check_era(&mut self, d: &Daemon) {
         let era = d.platform.era();
         if self.era.is_some() && era != self.era {
-            self.forget(d);
+            self.forget_lease(d);
             self.next_read = d.clock.now();
         }
         self.era = era;
     }
 
-    fn is_due(&self, now: Instant) -> bool {
-        self.renewed.is_none_or(|at| now >= at + RENEW_EVERY)
+    fn is_renewal_due(&self, now: Instant) -> bool {
+        self.renewed.is_none_or(|at| now >= at + RENEW_INTERVAL)
     }
 
-    fn forget(&mut self, d: &Daemon) {
+    fn forget_lease(&mut self, d: &Daemon) {
         self.renewed = None;
         *lock(&d.entry_lease) = None;
     }
@@ -253,8 +255,8 @@
             None => false,
         };
         if !kept {
-            self.forget(d);
-            let lease = self.write(d).await?;
+            self.forget_lease(d);
+            let lease = self.write_entry(d).await?;
             *lock(&d.entry_lease) = lease;
         }
         self.renewed = Some(d.clock.now());
@@ -262,8 +264,8 @@
     }
 
     /// Writes the entry under a new lease.
-    async fn write(&mut self, d: &Arc<Daemon>) -> Result<Option<Lease>, PlatformError> {
-        let lease = d.platform.grant(LEASE_TIME).await?;
+    async fn write_entry(&mut self, d: &Arc<Daemon>) -> Result<Option<Lease>, PlatformError> {
+        let lease = d.platform.grant(LEASE_TTL).await?;
         let record = d.members.own();
         let entry = Entry { mesh: record.far, domain: record.domain };
         let buf =
@@ -276,28 +278,30 @@
 }
 
 /// Compares tables with some of the daemons that have these entries; returns the first
-/// that answers. The others are not waited for: hosts without power do not answer.
-async fn first_answer(d: &Arc<Daemon>, entries: &[Entry]) -> Option<SocketAddr> {
-    let (tx, rx) = smol::channel::bounded(ASKED);
-    let asking: Vec<smol::Task<()>> = entries
+/// that answers. The others are not awaited: hosts without power do not answer.
+async fn sync_with_any(d: &Arc<Daemon>, entries: &[Entry]) -> Option<SocketAddr> {
+    let (tx, rx) = smol::channel::bounded(MAX_SYNC_PEERS);
+    let tasks: Vec<smol::Task<()>> = entries
         .iter()
-        .take(ASKED)
+        .take(MAX_SYNC_PEERS)
         .map(|entry| {
             let (d, tx, to) = (d.clone(), tx.clone(), entry.mesh);
             exec::spawn(async move {
                 if catch_up::sync_with(&d, to).await {
-                    let _first_is_enough = tx.try_send(to);
+                    let _receiver_may_be_gone = tx.try_send(to);
                 }
             })
         })
         .collect();
     drop(tx);
     let found = rx.recv().await.ok();
-    drop(asking);
+    drop(tasks);
     found
 }
 
 fn decode(pair: &Pair) -> Option<Entry> {
     let entry = serde_json::from_slice::<Entry>(&pair.value);
-    entry.inspect_err(|err| log::warn!("entry {} is damaged: {err}", pair.key)).ok()
+    entry
+        .inspect_err(|err| log::warn!("discovery entry {} cannot be decoded: {err}", pair.key))
+        .ok()
 }
--- a/src/daemon/readiness.rs
+++ b/src/daemon/readiness.rs
@@ -1,4 +1,4 @@
-//! The ports that tell whether this daemon takes work, and what it counts.
+//! The readiness and metrics ports.
 
 use super::Daemon;
 use super::request::headers;
@@ -8,28 +8,30 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Path of the readiness question in the product's own form.
+/// Path of the readiness check in the product's own form.
 const READY_PATH: &str = "/v1/ready";
 /// Path of counters and histograms.
 pub const METRICS_PATH: &str = "/metrics";
 
 /// Answers whether the daemon takes work.
 ///
-/// It does from its first configuration until a planned stop begins. An outage
-/// of the store changes nothing: what is in force goes on serving.
+/// It does from its first configuration until a planned stop begins; with discovery
+/// through the store, it must also have read the entries there or know another daemon. An
+/// outage of the store changes nothing: the configuration in force continues to be
+/// served.
 pub async fn handle(d: Arc<Daemon>, req: Request<Body>) -> Response<Body> {
     let path = req.uri().path();
     let hosted = d.hosted.as_ref().is_some_and(|hosted| hosted.is_readiness_path(path));
     if path != READY_PATH && !hosted {
         return headers::plain(StatusCode::NOT_FOUND, "no such path\n");
     }
-    match why_not_ready(&d) {
+    match not_ready_reason(&d) {
         None => headers::plain(StatusCode::OK, "ready\n"),
-        Some(why) => headers::plain(StatusCode::SERVICE_UNAVAILABLE, &format!("{why}\n")),
+        Some(reason) => headers::plain(StatusCode::SERVICE_UNAVAILABLE, &format!("{reason}\n")),
     }
 }
 
-/// Answers with what the daemon counts.
+/// Answers with counters and histograms.
 pub async fn metrics(d: Arc<Daemon>, req: Request<Body>) -> Response<Body> {
     match req.uri().path() {
         METRICS_PATH => headers::plain(StatusCode::OK, &d.metrics.text()),
@@ -37,15 +39,15 @@
     }
 }
 
-fn why_not_ready(d: &Daemon) -> Option<&'static str> {
+fn not_ready_reason(d: &Daemon) -> Option<&'static str> {
     if d.is_leaving() {
         return Some("leaving");
     }
     if d.versions.running_version() == 0 {
         return Some("no configuration yet");
     }
-    let alone = d.hosted.is_some() && !d.joined.load(Ordering::Relaxed);
-    if alone && d.members.live_count() < 2 {
+    let not_joined = d.hosted.is_some() && !d.joined.load(Ordering::Relaxed);
+    if not_joined && d.members.live_count() < 2 {
         return Some("no other daemon found yet");
     }
     None
--- a/src/daemon/upstreams.rs
+++ b/src/daemon/upstreams.rs
@@ -1,7 +1,7 @@
-//! The port for upstreams and operators of the host.
+//! The port for upstreams and operators on the same host.
 //!
-//! `docs/UPSTREAMS.md` describes it for those who write upstreams. It trusts who
-//! can reach it, so it belongs on loopback.
+//! `docs/UPSTREAMS.md` describes it for authors of upstreams. It trusts whoever can reach
+//! it, so it belongs on loopback.
 
 use super::request::headers;
 use super::{Daemon, quarantine, quotas, status};
@@ -9,7 +9,7 @@
 use cicadashift_core::ids::CallDigest;
 use cicadashift_core::membership::record::Readiness;
 use cicadashift_edge::interface::{
-    Announcement as Announced, Interface, Malformed, Report as Told,
+    Announcement as PlatformAnnouncement, Interface, Malformed, Report as PlatformReport,
 };
 use cicadashift_http::body::{self, Body};
 use cicadashift_http::hyper::{Method, Request, Response, StatusCode};
@@ -18,8 +18,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest announcement in bytes.
-const MAX_BODY: usize = 64 << 10;
+/// Largest request body in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
 
 /// Body of `POST /v1/upstreams`.
 #[derive(Clone, Debug, Deserialize)]
@@ -39,22 +39,22 @@
 #[serde(deny_unknown_fields)]
 struct Report {
     readiness: Readiness,
-    /// Taken for what it is, a claim: the gate counts for itself.
+    /// Accepted but not used: the gate counts calls in flight itself.
     #[serde(default, rename = "in_flight")]
     _in_flight: u32,
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(d: Arc<Daemon>, req: Request<Body>) -> Response<Body> {
     let (head, incoming) = req.into_parts();
-    let Ok(buf) = body::read(incoming, MAX_BODY).await else {
+    let Ok(buf) = body::read(incoming, MAX_BODY_BYTES).await else {
         return headers::plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n");
     };
     if let Some(hosted) = &d.hosted {
         match hosted.report(&head.method, head.uri.path(), &buf) {
-            Ok(Some(report)) => return take_report(&d, report),
+            Ok(Some(report)) => return apply_report(&d, report),
             Ok(None) => {}
-            Err(err) => return refuse_report(&d, &err),
+            Err(err) => return reject_report(&d, &err),
         }
     }
     let path = head.uri.path().trim_matches('/');
@@ -74,12 +74,12 @@
     }
 }
 
-/// Takes in a report in the platform's form. The answer binds: from then on an
-/// upstream that leaves gets no new work from here.
-fn take_report(d: &Daemon, report: Told) -> Response<Body> {
+/// Applies a report in the platform's form. Once it is answered, an upstream that leaves
+/// gets no new work from this daemon.
+fn apply_report(d: &Daemon, report: PlatformReport) -> Response<Body> {
     match report {
-        Told::Announce(announced) => d.gates.announce(d, announced),
-        Told::Leave { instance, start } => {
+        PlatformReport::Announce(announced) => d.gates.announce(d, announced),
+        PlatformReport::Leave { instance, start } => {
             log::info!("upstream {instance} left");
             d.gates.remove(d, &instance, start);
         }
@@ -87,8 +87,8 @@
     json(serde_json::json!({}))
 }
 
-fn refuse_report(d: &Daemon, err: &Malformed) -> Response<Body> {
-    log::warn!("a report of an upstream is not taken in: {err}");
+fn reject_report(d: &Daemon, err: &Malformed) -> Response<Body> {
+    log::warn!("upstream report rejected: {err}");
     d.metrics.incr("upstream.malformed");
     headers::plain(StatusCode::BAD_REQUEST, &format!("{err}\n"))
 }
@@ -110,7 +110,7 @@
     }
     d.gates.announce(
         d,
-        Announced {
+        PlatformAnnouncement {
             instance: announcement.instance,
             start: 0,
             service: announcement.service,
@@ -118,7 +118,7 @@
             address: announcement.address,
             slots: announcement.slots,
             readiness: announcement.readiness,
-            // This form has no number that rises; each report is taken as new.
+            // Reports in this form carry no sequence number; each counts as new.
             sequence: 0,
             cold_for: Duration::ZERO,
         },
@@ -145,7 +145,7 @@
     }
 }
 
-/// Takes the suspicion from a call, at an operator's word.
+/// Lifts the quarantine of a call at an operator's request.
 async fn lift(d: &Arc<Daemon>, call: &str) -> Response<Body> {
     let Some(call) = CallDigest::from_hex(call) else {
         return headers::plain(StatusCode::BAD_REQUEST, "a digest has 16 hexadecimal digits\n");
