--- a/src/daemon/catch_up.rs
+++ b/src/daemon/catch_up.rs
@@ -75,7 +75,7 @@
         return false;
     };
     d.members.add_catalog(catalog);
-    d.members.join(d, records);
+    d.members.apply_sync_answer(d, records);
     let records = d.members.records_of(&wanted);
     if records.is_empty() {
         return true;
@@ -123,7 +123,7 @@
 /// Reads from the platform who is there.
 async fn roster(d: &Daemon) -> Vec<SocketAddr> {
     let key = keys::roster(&d.settings.failure_domain);
-    let Ok(Some(pair)) = d.platform.get(&key).await else { return Vec::new() };
+    let Ok(Some(pair)) = d.store.get(&key).await else { return Vec::new() };
     let roster: reader::Roster = serde_json::from_slice(&pair.value).unwrap_or_default();
     d.members.add_catalog(roster.services.into_iter().collect());
     let own = d.members.own().near;
--- a/src/daemon/costs.rs
+++ b/src/daemon/costs.rs
@@ -99,7 +99,7 @@
     }
     let mut calls = Map::new();
     for call in StoreCall::ALL {
-        let count = d.platform.calls(call);
+        let count = d.store.calls(call);
         d.metrics.gauge(&format!("store.calls.{}", call.name()), count);
         calls.insert(call.name().to_string(), count.into());
     }
--- a/src/daemon/datagrams.rs
+++ b/src/daemon/datagrams.rs
@@ -19,29 +19,31 @@
 }
 
 /// Tells a member which version is in force here.
-pub async fn tell(d: &Daemon, host: HostKey) {
+pub async fn send_heartbeat(d: &Daemon, host: HostKey) {
     send(d, host, Kind::News, Vec::new()).await;
 }
 
 /// Tells a member of calls that are suspected of ending upstreams.
-pub async fn tell_suspicions(d: &Daemon, host: HostKey, suspicions: Vec<Suspicion>) {
+pub async fn send_suspicions(d: &Daemon, host: HostKey, suspicions: Vec<Suspicion>) {
     if let Some(to) = d.members.address(host) {
-        send_news(d, (host, to), Kind::News, News { suspicions, ..News::default() }).await;
+        send_datagram(d, (host, to), Kind::News, Piggyback { suspicions, ..Piggyback::default() })
+            .await;
     }
 }
 
 /// Tells the keeper of some limits what this daemon saw of them.
-pub async fn tell_usages(d: &Daemon, keeper: HostKey, usages: Vec<Usage>) {
+pub async fn send_usages(d: &Daemon, keeper: HostKey, usages: Vec<Usage>) {
     if let Some(to) = d.members.address(keeper) {
-        send_news(d, (keeper, to), Kind::News, News { usages, ..News::default() }).await;
+        send_datagram(d, (keeper, to), Kind::News, Piggyback { usages, ..Piggyback::default() })
+            .await;
     }
 }
 
 /// Tells a member of limits that are held back.
-pub async fn tell_notice(d: &Daemon, host: HostKey, notice: Notice) {
+pub async fn send_notice(d: &Daemon, host: HostKey, notice: Notice) {
     if let Some(to) = d.members.address(host) {
-        let news = News { notice: Some(notice), ..News::default() };
-        send_news(d, (host, to), Kind::News, news).await;
+        let news = Piggyback { notice: Some(notice), ..Piggyback::default() };
+        send_datagram(d, (host, to), Kind::News, news).await;
     }
 }
 
@@ -54,12 +56,12 @@
 
 /// Sends a datagram to an address of a member.
 pub async fn send_to(d: &Daemon, to: (HostKey, SocketAddr), kind: Kind, records: Vec<Record>) {
-    send_news(d, to, kind, News { records, ..News::default() }).await;
+    send_datagram(d, to, kind, Piggyback { records, ..Piggyback::default() }).await;
 }
 
 /// What rides along with a datagram.
 #[derive(Default)]
-pub struct News {
+pub struct Piggyback {
     /// What is new of members.
     pub records: Vec<Record>,
     /// Calls that are suspected of ending upstreams.
@@ -72,7 +74,7 @@
     pub notice: Option<Notice>,
 }
 
-impl News {
+impl Piggyback {
     fn is_empty(&self) -> bool {
         self.records.is_empty() && self.suspicions.is_empty()
     }
@@ -83,7 +85,12 @@
 }
 
 /// Sends a datagram with all that rides along.
-pub async fn send_news(d: &Daemon, (host, to): (HostKey, SocketAddr), kind: Kind, news: News) {
+pub async fn send_datagram(
+    d: &Daemon,
+    (host, to): (HostKey, SocketAddr),
+    kind: Kind,
+    news: Piggyback,
+) {
     let purpose = match (kind, news.is_empty()) {
         _ if news.is_of_limits() => Purpose::Limit,
         (Kind::News, true) => Purpose::Heartbeat,
@@ -94,7 +101,7 @@
         from: d.me,
         kind,
         active: d.versions.active_version(),
-        follows: d.follows.load(Ordering::Relaxed),
+        follows: d.follows_store.load(Ordering::Relaxed),
         digest: d.members.digest(),
         records: news.records,
         suspects: d.quarantine.summary(d.clock.now()),
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -87,7 +87,7 @@
     let lease = lock(&d.entry_lease).take();
     if let Some(lease) = lease {
         // The store may be away; the entry then ends with its lease.
-        let _ended = d.platform.revoke(lease).await;
+        let _ended = d.store.revoke(lease).await;
     }
 }
 
@@ -202,7 +202,7 @@
     /// Reads the entries and asks strangers among them for their tables, those of the
     /// own failure domain first; returns whether this daemon's own is there.
     async fn read(&mut self, d: &Arc<Daemon>) -> Result<bool, PlatformError> {
-        let pairs = d.platform.list_maybe_old(keys::DAEMONS).await?;
+        let pairs = d.store.list_maybe_old(keys::DAEMONS).await?;
         let own_key = keys::daemon(&d.settings.host);
         let own_is_there = pairs.iter().any(|pair| pair.key == own_key);
         let others = pairs.iter().filter(|pair| pair.key != own_key).filter_map(decode);
@@ -220,7 +220,7 @@
             self.settles_with = found;
             self.next_compare = d.clock.now() + SETTLE_FIRST;
         }
-        d.joined.store(true, Ordering::Relaxed);
+        d.has_read_entries.store(true, Ordering::Relaxed);
         Ok(own_is_there)
     }
 
@@ -229,7 +229,7 @@
     /// Failure: entry and lease are gone, or the lease's number is somebody else's.
     /// Symptom: daemons that start find nobody until the next renewal.
     fn note_era(&mut self, d: &Daemon) {
-        let era = d.platform.era();
+        let era = d.store.era();
         if self.era.is_some() && era != self.era {
             self.forget(d);
             self.next_read = d.clock.now();
@@ -249,7 +249,7 @@
     async fn renew(&mut self, d: &Arc<Daemon>) -> Result<(), PlatformError> {
         let held = *lock(&d.entry_lease);
         let kept = match held {
-            Some(lease) => d.platform.keep_alive(lease).await?,
+            Some(lease) => d.store.keep_alive(lease).await?,
             None => false,
         };
         if !kept {
@@ -263,13 +263,13 @@
 
     /// Writes the entry under a new lease.
     async fn write(&mut self, d: &Arc<Daemon>) -> Result<Option<Lease>, PlatformError> {
-        let lease = d.platform.grant(LEASE_TIME).await?;
+        let lease = d.store.grant(LEASE_TIME).await?;
         let record = d.members.own();
         let entry = Entry { mesh: record.far, domain: record.domain };
         let buf =
             serde_json::to_vec(&entry).map_err(|err| PlatformError::Protocol(err.to_string()))?;
         let key = keys::daemon(&d.settings.host);
-        let swap = d.platform.put_leased(&key, &buf, lease).await?;
+        let swap = d.store.put_leased(&key, &buf, lease).await?;
         self.written = Some(d.clock.now());
         Ok((swap == Swap::Done).then_some(lease))
     }
--- a/src/daemon/garbage.rs
+++ b/src/daemon/garbage.rs
@@ -30,7 +30,7 @@
 async fn round(d: &Arc<Daemon>, sweep: &mut Sweep) -> Result<usize, PlatformError> {
     // Listed first: what is named by a head that came afterwards was written
     // before it, and is then young.
-    let pairs = d.platform.list(keys::OBJECTS, true).await?;
+    let pairs = d.store.list(keys::OBJECTS, true).await?;
     let head = super::reader::read_head(d).await?;
     let Some(named) = head.and_then(|what| d.versions.objects_of(what.version)) else {
         return Ok(0);
@@ -48,6 +48,6 @@
     }
     let deletes: Vec<_> =
         old.iter().map(|(hash, revision)| (keys::object(*hash), *revision)).collect();
-    d.platform.delete_unchanged(&deletes).await?;
+    d.store.delete_unchanged(&deletes).await?;
     Ok(deletes.len())
 }
--- a/src/daemon/gateway.rs
+++ b/src/daemon/gateway.rs
@@ -113,7 +113,12 @@
     if let (Some(newest), Some(asker)) = (newest, asker) {
         consider(d, newest, asker.far);
     }
-    Response::Exchanged { life: d.life, records: own, pos, newest: d.versions.newest_whole() }
+    Response::Exchanged {
+        life: d.incarnation,
+        records: own,
+        pos,
+        newest: d.versions.newest_whole(),
+    }
 }
 
 async fn exchange(d: &Arc<Daemon>, to: SocketAddr) -> bool {
@@ -126,7 +131,7 @@
     }
     let ask = Ask::Exchange {
         from: d.me,
-        life: d.life,
+        life: d.incarnation,
         since: progress.theirs,
         records,
         newest: d.versions.newest_whole(),
@@ -190,7 +195,7 @@
 /// Returns some daemons of every other failure domain.
 fn contacts(d: &Daemon) -> BTreeMap<String, Vec<SocketAddr>> {
     let mut out: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
-    let mut far = d.members.far();
+    let mut far = d.members.live_in_other_domains();
     far.sort_by_key(|record| (!record.reader, record.host));
     for record in far {
         let addrs = out.entry(record.domain).or_default();
@@ -210,7 +215,7 @@
 
 /// Learns from the platform which failure domains there are.
 async fn learn_rosters(d: &Daemon) {
-    let Ok(pairs) = d.platform.list(keys::ROSTERS, false).await else { return };
+    let Ok(pairs) = d.store.list(keys::ROSTERS, false).await else { return };
     for pair in pairs {
         let domain = pair.key.trim_start_matches(keys::ROSTERS).to_string();
         let roster = serde_json::from_slice::<super::reader::Roster>(&pair.value);
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -1,6 +1,6 @@
 //! Probes and gossip over UDP.
 
-use super::datagrams::{News, ping, send, send_news, send_to};
+use super::datagrams::{Piggyback, ping, send, send_datagram, send_to};
 use super::{Daemon, catch_up, limits, liveness, quarantine, source};
 use crate::settings::InterfaceKind;
 use cicadashift_core::ids::HostKey;
@@ -51,11 +51,11 @@
         for probe in d.members.tick(now, fastrand::u64(..)) {
             act(&d, probe).await;
         }
-        liveness::round(&d, now.saturating_duration_since(last_round)).await;
+        liveness::ping_silent_hosts(&d, now.saturating_duration_since(last_round)).await;
         last_round = now;
         if now >= next_lost && d.settings.interface == InterfaceKind::Platform {
             next_lost = now + LOST_EVERY;
-            if let Some(host) = fastrand::choice(&d.members.lost()) {
+            if let Some(host) = fastrand::choice(&d.members.dead_hosts()) {
                 ping(&d, *host).await;
             }
         }
@@ -96,11 +96,11 @@
         }
         Action::Suspect(host) => {
             log::info!("member {} is suspected", d.members.name_of(host));
-            d.members.believe(d, host, Health::Suspect);
+            d.members.set_member_health(d, host, Health::Suspect);
         }
         Action::Dead(host) => {
             log::warn!("member {} is taken for dead", d.members.name_of(host));
-            d.members.believe(d, host, Health::Dead);
+            d.members.set_member_health(d, host, Health::Dead);
         }
         Action::Frozen(gap) => {
             log::warn!("this daemon was frozen for {gap:?}");
@@ -126,7 +126,7 @@
 }
 
 async fn round(d: &Daemon) {
-    let audience = d.members.audience();
+    let audience = d.members.gossip_targets();
     let records = d.members.take_round();
     for records in records.chunks(RECORDS_PER_DATAGRAM) {
         for host in &audience {
@@ -154,7 +154,7 @@
         grants,
         notice,
     } = datagram;
-    liveness::heard(d, host);
+    liveness::note_received(d, host);
     quarantine::heard(d, &suspicions);
     limits::granted(d, &grants);
     if let Some(notice) = notice {
@@ -162,7 +162,8 @@
     }
     if !usages.is_empty() {
         let grants = limits::reported(d, &usages);
-        send_news(d, (host, from), Kind::News, News { grants, ..News::default() }).await;
+        send_datagram(d, (host, from), Kind::News, Piggyback { grants, ..Piggyback::default() })
+            .await;
     }
     if follows {
         d.versions.document.cover(host, active, d.clock.now());
--- a/src/daemon/limits.rs
+++ b/src/daemon/limits.rs
@@ -91,7 +91,7 @@
                 true => granted(&d, &reported(&d, &usages)),
                 false => {
                     for part in usages.chunks(USAGES_PER_DATAGRAM) {
-                        datagrams::tell_usages(&d, keeper, part.to_vec()).await;
+                        datagrams::send_usages(&d, keeper, part.to_vec()).await;
                     }
                 }
             }
@@ -133,7 +133,7 @@
 
 impl Parts {
     fn now(d: &Daemon) -> Parts {
-        let (live, lost) = (d.members.live_count(), d.members.lost_count());
+        let (live, lost) = (d.members.live_count(), d.members.dead_count());
         Parts { running: d.versions.running(), live, lost }
     }
 
@@ -196,8 +196,8 @@
         let mut shares = lock(d.limits.shard(grant.key));
         shares.entry(grant.key).or_insert_with(|| Limiter::new(now)).apply_grant(*grant, now);
     }
-    for host in d.members.audience_at_once() {
-        datagrams::tell_notice(d, host, notice.clone()).await;
+    for host in d.members.urgent_targets() {
+        datagrams::send_notice(d, host, notice.clone()).await;
     }
 }
 
--- a/src/daemon/liveness.rs
+++ b/src/daemon/liveness.rs
@@ -20,7 +20,7 @@
 const PINGED_AT_ONCE: usize = 8;
 
 /// Notes that something came from a host.
-pub fn heard(d: &Daemon, host: HostKey) {
+pub fn note_received(d: &Daemon, host: HostKey) {
     let (was_silent, may_be_presumed) = {
         let mut liveness = lock(&d.liveness);
         let was_silent = liveness.received(host, d.clock.now());
@@ -39,7 +39,7 @@
 
 /// Does what is due once in a round of gossip: pings hosts that are taken for
 /// silent, to find out when they are back.
-pub async fn round(d: &Daemon, since_last: Duration) {
+pub async fn ping_silent_hosts(d: &Daemon, since_last: Duration) {
     if since_last >= STOOD_STILL {
         lock(&d.liveness).reset(d.clock.now());
     }
@@ -54,7 +54,7 @@
 ///
 /// That others wait for it in vain says little about a call that was sent a moment
 /// ago and may have just reached a slow host: each waits for [`OWN_WAIT`] itself.
-pub async fn silent(d: &Arc<Daemon>, host: HostKey) {
+pub async fn wait_until_silent(d: &Arc<Daemon>, host: HostKey) {
     if host == d.me {
         return std::future::pending().await;
     }
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -122,7 +122,7 @@
     /// spreads it. Symptom: each start sends some 295 records 18 times, and real news
     /// wait behind them. One that is told more than it knew before is the one that was
     /// behind; what it was told is no news to others.
-    pub fn join(&self, d: &Daemon, records: Vec<Record>) -> bool {
+    pub fn apply_sync_answer(&self, d: &Daemon, records: Vec<Record>) -> bool {
         let is_behind = records.len() > lock(&self.inner).table.len();
         self.take_in(d, records, !is_behind)
     }
@@ -183,7 +183,7 @@
     }
 
     /// Records a belief about another daemon and spreads it.
-    pub fn believe(&self, d: &Daemon, host: HostKey, health: Health) {
+    pub fn set_member_health(&self, d: &Daemon, host: HostKey, health: Health) {
         let changed = {
             let mut inner = lock(&self.inner);
             let record = inner.table.set_health(host, health, d.clock.now());
@@ -208,7 +208,7 @@
     }
 
     /// Returns whom one round of gossip goes to.
-    pub fn audience(&self) -> Vec<HostKey> {
+    pub fn gossip_targets(&self) -> Vec<HostKey> {
         let inner = lock(&self.inner);
         let mut near = inner.table.live(Some(&self.domain));
         near.retain(|host| *host != self.me);
@@ -227,7 +227,7 @@
     /// Returns whom news go to that every daemon is to have within milliseconds: all
     /// others where they are few, or else some of the own failure domain and one of each
     /// other, who do the same.
-    pub fn audience_at_once(&self) -> Vec<HostKey> {
+    pub fn urgent_targets(&self) -> Vec<HostKey> {
         let inner = lock(&self.inner);
         let mut all = inner.others(self.me, None);
         if all.len() <= FEW {
@@ -337,7 +337,7 @@
 
     /// Returns the members of the own failure domain that this follower sends its
     /// heartbeats to: each hears two followers.
-    pub fn members_of(&self, followers: &[HostKey], follower: HostKey) -> Vec<HostKey> {
+    pub fn heartbeat_targets(&self, followers: &[HostKey], follower: HostKey) -> Vec<HostKey> {
         let live = lock(&self.inner).table.live(Some(&self.domain));
         live.into_iter()
             .filter(|host| !followers.contains(host))
@@ -346,14 +346,14 @@
     }
 
     /// Returns the daemons that are believed dead.
-    pub fn lost(&self) -> Vec<HostKey> {
+    pub fn dead_hosts(&self) -> Vec<HostKey> {
         let inner = lock(&self.inner);
         let dead = inner.table.iter().filter(|record| record.health == Health::Dead);
         dead.map(|record| record.host).collect()
     }
 
     /// Returns how many daemons are believed dead.
-    pub fn lost_count(&self) -> usize {
+    pub fn dead_count(&self) -> usize {
         let inner = lock(&self.inner);
         inner.table.iter().filter(|record| record.health == Health::Dead).count()
     }
@@ -373,7 +373,7 @@
     }
 
     /// Returns live daemons of other failure domains.
-    pub fn far(&self) -> Vec<Record> {
+    pub fn live_in_other_domains(&self) -> Vec<Record> {
         let inner = lock(&self.inner);
         inner
             .table
--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -76,7 +76,7 @@
         }
         Ask::Rollout(report) => Response::Quotas(decider::on_report(d, report)),
         Ask::Record { rows } => {
-            d.record.add(rows);
+            d.delivery_record.add(rows);
             Response::Done
         }
     }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -61,7 +61,7 @@
 use cicadashift_http::hyper::{Request, Response};
 use cicadashift_http::server::{self, Idle, Stop, Stopped};
 use cicadashift_http::{exec, server::Limits};
-use cicadashift_platform::Platform as Hosted;
+use cicadashift_platform::Platform as PlatformAdapter;
 use cicadashift_wire::call;
 use cicadashift_wire::seal::MeshKey;
 use eyre::WrapErr;
@@ -103,27 +103,27 @@
     /// Its key.
     pub me: HostKey,
     /// This life's number.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Proof of belonging to the mesh.
     pub key: MeshKey,
     /// The store.
-    pub platform: Client,
+    pub store: Client,
     /// Names of the headers that callers and upstreams use.
     pub dialect: Dialect,
     /// The platform's way of speaking, where it is not the product's own.
-    pub hosted: Option<Hosted>,
+    pub platform_adapter: Option<PlatformAdapter>,
     /// How long callers' connections may stay idle.
     pub caller_idle: Idle,
     /// Whether the entries of other daemons were read at least once.
-    pub joined: AtomicBool,
+    pub has_read_entries: AtomicBool,
     /// The lease of this daemon's entry in the store, while it keeps one.
     pub entry_lease: Mutex<Option<Lease>>,
     /// Whether a configuration is being fetched from a member.
-    pub learning: AtomicBool,
+    pub is_fetching_config: AtomicBool,
     /// Whether this daemon follows the store and reaches it.
-    pub follows: AtomicBool,
+    pub follows_store: AtomicBool,
     /// Connections to other daemons.
     pub mesh_pool: Pool,
     /// Counters and histograms.
@@ -141,7 +141,7 @@
     /// Limits that all daemons keep together.
     pub limits: limits::Limits,
     /// What upstreams said of themselves in answers that passed here.
-    pub signals: in_band::Remembered,
+    pub in_band_signals: in_band::Remembered,
     /// Rollouts of new versions.
     pub rollouts: rollouts::Rollouts,
     /// Upstreams as chosen from here.
@@ -151,7 +151,7 @@
     /// The host's link, where the settings say what it carries.
     pub link: Option<Mutex<Link>>,
     /// The delivery record.
-    pub record: record::Record,
+    pub delivery_record: record::Record,
     /// The reader's part.
     pub reader: reader::State,
     /// Exchange with other failure domains.
@@ -163,7 +163,7 @@
     /// What it spends on being one of many.
     pub costs: costs::Costs,
     /// Calls in progress, as entry or exit.
-    pub calls: AtomicU64,
+    pub calls_in_flight: AtomicU64,
     /// Datagrams go out through this.
     pub udp: Async<UdpSocket>,
 }
@@ -338,43 +338,46 @@
         udp: Async<UdpSocket>,
     ) -> eyre::Result<Daemon> {
         let me = HostKey::of(&settings.host);
-        let life = clock.wall_ms();
-        let hosted = (settings.interface == InterfaceKind::Platform).then(Hosted::new);
+        let incarnation = clock.wall_ms();
+        let platform_adapter =
+            (settings.interface == InterfaceKind::Platform).then(PlatformAdapter::new);
         Ok(Daemon {
             me,
-            life,
+            incarnation,
             key: MeshKey::new(&settings.mesh_key),
-            platform: match settings.interface {
+            store: match settings.interface {
                 InterfaceKind::Own => Client::etcd(settings.platform.clone()),
                 InterfaceKind::Platform => Client::hosted(&settings.platform),
             },
-            dialect: hosted.as_ref().map_or_else(own_dialect, |hosted| hosted.dialect().clone()),
-            hosted,
+            dialect: platform_adapter
+                .as_ref()
+                .map_or_else(own_dialect, |adapter| adapter.dialect().clone()),
+            platform_adapter,
             caller_idle: Idle::new(Duration::from_millis(settings.limits.head_ms)),
-            joined: AtomicBool::new(false),
+            has_read_entries: AtomicBool::new(false),
             entry_lease: Mutex::new(None),
-            learning: AtomicBool::new(false),
-            follows: AtomicBool::new(false),
+            is_fetching_config: AtomicBool::new(false),
+            follows_store: AtomicBool::new(false),
             mesh_pool: Pool::new(MESH_CONNECTIONS),
             metrics: Metrics::new(settings.metrics)?,
-            versions: versions::Versions::new(&settings, me, life, clock.clone()),
-            members: members::Members::new(&settings, me, life, ports.mesh, clock.now()),
+            versions: versions::Versions::new(&settings, me, incarnation, clock.clone()),
+            members: members::Members::new(&settings, me, incarnation, ports.mesh, clock.now()),
             liveness: Mutex::default(),
             callers: callers::Callers::default(),
             quarantine: quarantine::Quarantine::default(),
             limits: limits::Limits::default(),
-            signals: in_band::Remembered::default(),
+            in_band_signals: in_band::Remembered::default(),
             rollouts: rollouts::Rollouts::default(),
             services: services::Services::new(settings.choice),
             gates: gates::Gates::new(),
             link: settings.link_mbps.map(|mbps| Mutex::new(Link::new(mbps))),
-            record: record::Record::new(),
+            delivery_record: record::Record::new(),
             reader: reader::State::default(),
             gateway: gateway::State::default(),
             leaving: AtomicBool::new(false),
             stops_at: OnceLock::new(),
             costs: costs::Costs::default(),
-            calls: AtomicU64::new(0),
+            calls_in_flight: AtomicU64::new(0),
             udp,
             tunable: tunable::Tunable::new(&settings),
             settings,
@@ -384,17 +387,17 @@
 
     /// Returns the key under which the newest configuration lies.
     pub fn config_key(&self) -> &'static str {
-        self.hosted.as_ref().map_or(keys::HEAD, |hosted| hosted.config_key())
+        self.platform_adapter.as_ref().map_or(keys::HEAD, |adapter| adapter.config_key())
     }
 
     /// Returns the prefix of the keys that operators write.
     pub fn operator_prefix(&self) -> &'static str {
-        self.hosted.as_ref().map_or(keys::HEAD, |hosted| hosted.operator_prefix())
+        self.platform_adapter.as_ref().map_or(keys::HEAD, |adapter| adapter.operator_prefix())
     }
 
     /// Returns whether a key is that of an order to roll a version out.
-    pub fn is_order(&self, key: &str) -> bool {
-        self.hosted.as_ref().is_some_and(|hosted| key.starts_with(hosted.order_prefix()))
+    pub fn is_rollout_order(&self, key: &str) -> bool {
+        self.platform_adapter.as_ref().is_some_and(|hosted| key.starts_with(hosted.order_prefix()))
     }
 
     /// Decodes a configuration in the platform's form.
@@ -403,8 +406,8 @@
     ///
     /// Returns what is wrong with it.
     pub fn decode_document(&self, buf: &[u8]) -> Result<Document, Malformed> {
-        match &self.hosted {
-            Some(hosted) => hosted.document(buf),
+        match &self.platform_adapter {
+            Some(adapter) => adapter.document(buf),
             None => Err(Malformed::Syntax("configurations are not whole here".to_string())),
         }
     }
@@ -449,7 +452,7 @@
     }
 
     async fn wait_for_calls(&self, until: Instant) {
-        while self.calls.load(Ordering::Relaxed) > 0 && self.clock.now() < until {
+        while self.calls_in_flight.load(Ordering::Relaxed) > 0 && self.clock.now() < until {
             smol::Timer::after(STOP_STEP).await;
         }
     }
--- a/src/daemon/promotion.rs
+++ b/src/daemon/promotion.rs
@@ -56,7 +56,7 @@
             }
         }
     }
-    d.record.finish(d, draft);
+    d.delivery_record.finish(d, draft);
     Ok(())
 }
 
--- a/src/daemon/quarantine.rs
+++ b/src/daemon/quarantine.rs
@@ -203,13 +203,13 @@
 /// Does what is due.
 async fn round(d: &Arc<Daemon>, last: &mut Option<Reading>) -> Result<(), PlatformError> {
     lock(&d.quarantine.suspects).sweep(d.clock.now());
-    let era = d.platform.era().unwrap_or_default();
+    let era = d.store.era().unwrap_or_default();
     let is_restored = last.is_some_and(|last| last.era != era);
     if is_restored {
         restored(d, era);
     }
     let is_current = last.is_some_and(|last| last.is_current);
-    if last.is_none() || is_restored || (!is_current && d.follows.load(Ordering::Relaxed)) {
+    if last.is_none() || is_restored || (!is_current && d.follows_store.load(Ordering::Relaxed)) {
         *last = Some(read(d).await?);
     }
     let unsaved = lock(&d.quarantine.suspects).unsaved(d.clock.now());
@@ -223,7 +223,7 @@
 /// Keeps quarantines again where the store came back from a copy. Those that keep them
 /// may have ended since, so that whoever follows the store keeps all that it knows.
 fn restored(d: &Daemon, era: u64) {
-    let all = d.follows.load(Ordering::Relaxed);
+    let all = d.follows_store.load(Ordering::Relaxed);
     let kept = lock(&d.quarantine.suspects).lost_from_store(all, d.clock.now());
     log::warn!("the store came back from a copy, era {era}: {kept} quarantines are kept again");
     d.metrics.incr("platform.restored");
@@ -236,10 +236,10 @@
 /// costs it a tenth; those that follow the store read again what is there now, and the
 /// others hear from them.
 async fn read(d: &Arc<Daemon>) -> Result<Reading, PlatformError> {
-    let is_current = d.follows.load(Ordering::Relaxed);
+    let is_current = d.follows_store.load(Ordering::Relaxed);
     let pairs = match is_current {
-        true => d.platform.list(keys::QUARANTINE, false).await?,
-        false => d.platform.list_maybe_old(keys::QUARANTINE).await?,
+        true => d.store.list(keys::QUARANTINE, false).await?,
+        false => d.store.list_maybe_old(keys::QUARANTINE).await?,
     };
     let decoded = pairs.iter().filter_map(|pair| {
         let suspicion = rpc::decode::<Suspicion>(&pair.value);
@@ -247,13 +247,13 @@
     });
     let told: Vec<_> = decoded.collect();
     heard(d, &told);
-    Ok(Reading { era: d.platform.era().unwrap_or_default(), is_current })
+    Ok(Reading { era: d.store.era().unwrap_or_default(), is_current })
 }
 
 async fn save(d: &Daemon, suspicion: &Suspicion) -> Result<(), PlatformError> {
-    let lease = d.platform.grant(KEPT_FOR).await?;
+    let lease = d.store.grant(KEPT_FOR).await?;
     let key = keys::quarantine(suspicion.call);
-    match d.platform.put_leased(&key, &rpc::encode(suspicion), lease).await? {
+    match d.store.put_leased(&key, &rpc::encode(suspicion), lease).await? {
         Swap::Done => Ok(()),
         Swap::Lost => Err(PlatformError::NotDone("the lease has ended".to_string())),
     }
@@ -294,10 +294,10 @@
 /// Tells one round of news; returns whether there was any.
 async fn tell_round(d: &Daemon) -> bool {
     let news = lock(&d.quarantine.untold).take_round(PER_DATAGRAM * DATAGRAMS_PER_ROUND);
-    let audience = d.members.audience_at_once();
+    let audience = d.members.urgent_targets();
     for part in news.chunks(PER_DATAGRAM) {
         for host in &audience {
-            datagrams::tell_suspicions(d, *host, part.to_vec()).await;
+            datagrams::send_suspicions(d, *host, part.to_vec()).await;
         }
     }
     !news.is_empty()
--- a/src/daemon/reader.rs
+++ b/src/daemon/reader.rs
@@ -87,7 +87,7 @@
 pub async fn release(d: &Daemon) {
     let lease = lock(&d.reader.lease).take();
     if let Some(lease) = lease {
-        let _ends_anyway = d.platform.revoke(lease).await;
+        let _ends_anyway = d.store.revoke(lease).await;
     }
 }
 
@@ -123,7 +123,7 @@
 /// Returns the platform's error.
 pub async fn read_head(d: &Arc<Daemon>) -> Result<Option<VersionRef>, PlatformError> {
     let began = d.clock.now();
-    let pair = d.platform.get(keys::HEAD).await?;
+    let pair = d.store.get(keys::HEAD).await?;
     let what = pair.as_ref().map(parse_head).transpose()?.flatten();
     *lock(&d.reader.last_head) = Some((began, what));
     let actions = d.versions.on(Event::HeadRead(what.map_or(0, |what| what.version)));
@@ -155,16 +155,16 @@
 
 async fn hold_lease(d: &Arc<Daemon>) -> Result<(), PlatformError> {
     let key = keys::reader(&d.settings.failure_domain);
-    if d.platform.get(&key).await?.is_some() {
+    if d.store.get(&key).await?.is_some() {
         return Ok(());
     }
-    let lease = d.platform.grant(LEASE_TIME).await?;
+    let lease = d.store.grant(LEASE_TIME).await?;
     let swapped =
-        d.platform.swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease)).await;
+        d.store.swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease)).await;
     if swapped != Ok(Swap::Done) {
         // A lost answer counts as lost: the lease is given up, and with it the
         // key, whoever has it.
-        let _ends_anyway = d.platform.revoke(lease).await;
+        let _ends_anyway = d.store.revoke(lease).await;
         return swapped.map(|_| ());
     }
     *lock(&d.reader.lease) = Some(lease);
@@ -184,7 +184,7 @@
     let mut failing_since = None::<Instant>;
     loop {
         smol::Timer::after(KEEP_ALIVE).await;
-        match d.platform.keep_alive(lease).await {
+        match d.store.keep_alive(lease).await {
             Ok(true) => failing_since = None,
             Ok(false) => {
                 log::warn!("reader lease ended; another daemon may read");
@@ -209,7 +209,7 @@
 
 /// Watches the head; returns when the watch ends.
 async fn read(d: &Arc<Daemon>) -> Result<(), PlatformError> {
-    let mut watch = d.platform.watch(keys::HEAD).await?;
+    let mut watch = d.store.watch(keys::HEAD).await?;
     load_catalog(d).await?;
     // Read after the watch is in place, so that no change falls in between.
     let mut newest = read_head(d).await?;
@@ -277,7 +277,7 @@
 
 /// Learns from the rosters which services exist.
 async fn load_catalog(d: &Arc<Daemon>) -> Result<(), PlatformError> {
-    for pair in d.platform.list(keys::ROSTERS, false).await? {
+    for pair in d.store.list(keys::ROSTERS, false).await? {
         if let Ok(roster) = serde_json::from_slice::<Roster>(&pair.value) {
             d.members.add_catalog(roster.services.into_iter().collect());
         }
@@ -303,7 +303,7 @@
 
 async fn write_roster(d: &Daemon, roster: &Roster) -> Result<(), PlatformError> {
     let buf = serde_json::to_vec(roster).unwrap_or_default();
-    d.platform.put_many(&[(keys::roster(&d.settings.failure_domain), buf)]).await
+    d.store.put_many(&[(keys::roster(&d.settings.failure_domain), buf)]).await
 }
 
 /// Spreads a pause over half to one and a half times its length.
--- a/src/daemon/readiness.rs
+++ b/src/daemon/readiness.rs
@@ -19,7 +19,7 @@
 /// of the store changes nothing: what is in force goes on serving.
 pub async fn handle(d: Arc<Daemon>, req: Request<Body>) -> Response<Body> {
     let path = req.uri().path();
-    let hosted = d.hosted.as_ref().is_some_and(|hosted| hosted.is_readiness_path(path));
+    let hosted = d.platform_adapter.as_ref().is_some_and(|hosted| hosted.is_readiness_path(path));
     if path != READY_PATH && !hosted {
         return headers::plain(StatusCode::NOT_FOUND, "no such path\n");
     }
@@ -44,7 +44,7 @@
     if d.versions.running_version() == 0 {
         return Some("no configuration yet");
     }
-    let alone = d.hosted.is_some() && !d.joined.load(Ordering::Relaxed);
+    let alone = d.platform_adapter.is_some() && !d.has_read_entries.load(Ordering::Relaxed);
     if alone && d.members.live_count() < 2 {
         return Some("no other daemon found yet");
     }
--- a/src/daemon/record.rs
+++ b/src/daemon/record.rs
@@ -165,13 +165,13 @@
 /// A row whose write is lost is written again under the same key, so it is
 /// there once.
 pub async fn flush(d: &Daemon) {
-    let rows = d.record.unwritten();
+    let rows = d.delivery_record.unwritten();
     if rows.is_empty() {
         return;
     }
     let pairs: Vec<_> = rows.iter().map(|row| (row_key(row), encode(row))).collect();
-    match d.platform.put_many(&pairs).await {
-        Ok(()) => d.record.written(&rows),
+    match d.store.put_many(&pairs).await {
+        Ok(()) => d.delivery_record.written(&rows),
         Err(err) => log::warn!("delivery record: {} rows wait: {err}", rows.len()),
     }
 }
@@ -195,7 +195,7 @@
 /// quarter lacks a row. Those who hold a copy pass it to the next reader, and
 /// the row's key makes the repetition harmless.
 async fn drop_written(d: &Arc<Daemon>) {
-    let rows = d.record.unwritten();
+    let rows = d.delivery_record.unwritten();
     if rows.is_empty() {
         return;
     }
@@ -203,7 +203,7 @@
     let Some(reader) = readers.into_iter().find(|record| record.reader) else { return };
     let ask = Ask::Record { rows: rows.clone() };
     if peers::ask(d, reader.near, &ask, COPY_TIME).await.is_ok() {
-        d.record.written(&rows);
+        d.delivery_record.written(&rows);
     }
 }
 
--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/second.rs
@@ -89,7 +89,7 @@
         return first.await;
     }
     if why != HOST_SILENT {
-        let silent = liveness::silent(d, target.host);
+        let silent = liveness::wait_until_silent(d, target.host);
         if let Raced::First(got) = race(first.as_mut(), silent).await {
             return got;
         }
@@ -120,7 +120,7 @@
         "late"
     };
     let silent = async {
-        liveness::silent(d, target.host).await;
+        liveness::wait_until_silent(d, target.host).await;
         HOST_SILENT
     };
     smol::future::or(slow, silent).await
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -62,9 +62,9 @@
     // Who was refused comes back on a new connection; the old ones would stay
     // unused, thousands of them under overload.
     let refused = res.status() == StatusCode::SERVICE_UNAVAILABLE;
-    if d.is_leaving() || (d.hosted.is_some() && refused) {
+    if d.is_leaving() || (d.platform_adapter.is_some() && refused) {
         headers::set(res.headers_mut(), "connection", "close");
-    } else if d.hosted.is_some() {
+    } else if d.platform_adapter.is_some() {
         let seconds = CALLER_IDLE_MOST.as_secs();
         headers::set(res.headers_mut(), "keep-alive", &format!("timeout={seconds}"));
     }
@@ -258,7 +258,7 @@
 
 /// Returns whether the version in force is certainly the newest.
 fn is_sure(d: &Daemon, now: Instant) -> bool {
-    d.hosted.is_none() || d.versions.document.is_current(now, SURE_FOR)
+    d.platform_adapter.is_none() || d.versions.document.is_current(now, SURE_FOR)
 }
 
 fn refuse_unrouted(
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -91,7 +91,7 @@
             return Got::None(Attempt::Unknown, "deadline");
         }
     };
-    liveness::heard(d, target.host);
+    liveness::note_received(d, target.host);
     read_answer(d, work, target, res, flight, started).await
 }
 
@@ -134,7 +134,7 @@
     let (head, body) = res.into_parts();
     d.costs.add(Purpose::Answer, target.place == Place::Far, CALL_HEAD + size_of(&body));
     let told = told(&head.headers);
-    if d.signals.take(target.host, &target.instance, &head.headers, d.clock.now()) {
+    if d.in_band_signals.take(target.host, &target.instance, &head.headers, d.clock.now()) {
         d.services.sync(d);
     }
     let key = target.choice.key;
@@ -206,7 +206,7 @@
     patience: Patience,
     now: Instant,
 ) -> Context {
-    let said = d.signals.limit(target.host, &target.instance);
+    let said = d.in_band_signals.limit(target.host, &target.instance);
     let ms = |time: Duration| time.as_millis().min(u128::from(u32::MAX)) as u32;
     Context {
         request_id: work.request_id.clone(),
--- a/src/daemon/request/tracked.rs
+++ b/src/daemon/request/tracked.rs
@@ -17,14 +17,14 @@
 impl Counted {
     /// Counts one more.
     pub fn new(d: &Arc<Daemon>) -> Counted {
-        d.calls.fetch_add(1, Ordering::Relaxed);
+        d.calls_in_flight.fetch_add(1, Ordering::Relaxed);
         Counted { d: d.clone() }
     }
 }
 
 impl Drop for Counted {
     fn drop(&mut self) {
-        self.d.calls.fetch_sub(1, Ordering::Relaxed);
+        self.d.calls_in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -132,9 +132,9 @@
 }
 
 async fn take_key(d: &Arc<Daemon>) -> Result<Option<Trial>, PlatformError> {
-    let lease = d.platform.grant(HELD_FOR).await?;
+    let lease = d.store.grant(HELD_FOR).await?;
     let holder = d.settings.host.as_bytes();
-    match d.platform.swap(keys::TRIAL, Revision::ABSENT, holder, Some(lease)).await {
+    match d.store.swap(keys::TRIAL, Revision::ABSENT, holder, Some(lease)).await {
         Ok(Swap::Done) => Ok(Some(Trial { d: d.clone(), lease })),
         Ok(Swap::Lost) => {
             give_back(d, lease);
@@ -151,7 +151,7 @@
 fn give_back(d: &Arc<Daemon>, lease: Lease) {
     let d = d.clone();
     let giving = async move {
-        if let Err(err) = d.platform.revoke(lease).await {
+        if let Err(err) = d.store.revoke(lease).await {
             log::info!("the key of a trial ends with its lease: {err}");
         }
     };
--- a/src/daemon/rollouts/decider.rs
+++ b/src/daemon/rollouts/decider.rs
@@ -62,7 +62,7 @@
     let mut eras = Eras::default();
     loop {
         smol::Timer::after(LOOK).await;
-        eras.look(d.platform.era(), d.clock.now());
+        eras.look(d.store.era(), d.clock.now());
         if lock(&d.rollouts.orders).is_empty() && lock(&d.rollouts.decisions).is_empty() {
             continue;
         }
@@ -138,7 +138,7 @@
         has_ended || stage.order.supersedes(order.revision)
     });
     let decides_here = lock(&d.rollouts.decisions).contains_key(&order.service);
-    !has_ended && !decides_here && d.follows.load(Ordering::Relaxed)
+    !has_ended && !decides_here && d.follows_store.load(Ordering::Relaxed)
 }
 
 /// Returns whether the store came back from a copy since a rollout ended, so that the
@@ -146,7 +146,7 @@
 fn is_untold(d: &Daemon, order: &Order, told_in: &HashMap<String, u64>) -> bool {
     let is_rewritten = order.read_in_era > order.revision.era;
     let is_told = told_in.get(&order.service) == Some(&order.read_in_era);
-    is_rewritten && !is_told && d.follows.load(Ordering::Relaxed)
+    is_rewritten && !is_told && d.follows_store.load(Ordering::Relaxed)
 }
 
 /// Tells the operator again how a rollout ended.
@@ -162,20 +162,20 @@
 /// Takes a rollout on if nobody holds its key.
 async fn try_to_decide(d: &Arc<Daemon>, order: &Order) -> Result<(), PlatformError> {
     let key = keys::decider(&order.service);
-    if d.platform.get(&key).await?.is_some() {
+    if d.store.get(&key).await?.is_some() {
         return Ok(());
     }
-    let lease = d.platform.grant(LEASE).await?;
+    let lease = d.store.grant(LEASE).await?;
     let now = d.clock.now();
-    match d.platform.swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease)).await {
+    match d.store.swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease)).await {
         Ok(Swap::Done) => {}
-        Ok(Swap::Lost) => return d.platform.revoke(lease).await,
+        Ok(Swap::Lost) => return d.store.revoke(lease).await,
         Err(err) => {
-            let _ends_by_itself = d.platform.revoke(lease).await;
+            let _ends_by_itself = d.store.revoke(lease).await;
             return Err(err);
         }
     }
-    let kept = d.platform.get(&keys::rollout(&order.service)).await?;
+    let kept = d.store.get(&keys::rollout(&order.service)).await?;
     let revision = kept.as_ref().map_or(Revision::ABSENT, |pair| pair.revision);
     let kept = kept.and_then(|pair| {
         let kept = rpc::decode::<Kept>(&pair.value);
@@ -223,7 +223,7 @@
     let passed = Duration::from_millis(wall.saturating_sub(began_ms)).min(order.duration);
     let began = now.checked_sub(passed).unwrap_or(now);
     // Grants may have been written that the copy does not have.
-    let account = match d.platform.era().is_some_and(|era| era > order.revision.era) {
+    let account = match d.store.era().is_some_and(|era| era > order.revision.era) {
         true => Account::with_unknown_grants(),
         false => Account::taken_over(seen, granted),
     };
@@ -247,7 +247,7 @@
         None => Some(Proposal::Phase(Phase::RolledBack, Why::Withdrawn)),
     };
     if is_due {
-        if !d.platform.keep_alive(lease).await? && !keep_deciding(d, service).await? {
+        if !d.store.keep_alive(lease).await? && !keep_deciding(d, service).await? {
             log::info!("rollout of {service}: another daemon may decide now");
             lock(&d.rollouts.decisions).remove(service);
             return Ok(());
@@ -273,16 +273,16 @@
 /// was granted since the copy once more, or a verdict turns.
 async fn keep_deciding(d: &Daemon, service: &str) -> Result<bool, PlatformError> {
     let lost = lock(&d.rollouts.decisions).get(service).map(|decision| decision.lease.era);
-    if lost.is_none() || lost == d.platform.era() {
+    if lost.is_none() || lost == d.store.era() {
         return Ok(false);
     }
-    let lease = d.platform.grant(LEASE).await?;
+    let lease = d.store.grant(LEASE).await?;
     let (key, holder) = (keys::decider(service), d.settings.host.as_bytes());
-    if d.platform.swap(&key, Revision::ABSENT, holder, Some(lease)).await? == Swap::Lost {
-        d.platform.revoke(lease).await?;
+    if d.store.swap(&key, Revision::ABSENT, holder, Some(lease)).await? == Swap::Lost {
+        d.store.revoke(lease).await?;
         return Ok(false);
     }
-    let kept = d.platform.get(&keys::rollout(service)).await?;
+    let kept = d.store.get(&keys::rollout(service)).await?;
     if let Some(decision) = lock(&d.rollouts.decisions).get_mut(service) {
         decision.lease = lease;
         decision.revision = kept.map_or(Revision::ABSENT, |pair| pair.revision);
@@ -294,7 +294,7 @@
 /// Returns whether this daemon decides by a lease of the store's present era.
 fn decides_in_this_era(d: &Daemon, service: &str) -> bool {
     let held = lock(&d.rollouts.decisions).get(service).map(|decision| decision.lease.era);
-    held.is_some_and(|held| d.platform.era().is_none_or(|era| era == held))
+    held.is_some_and(|held| d.store.era().is_none_or(|era| era == held))
 }
 
 fn next_proposal(d: &Daemon, service: &str, now: Instant) -> Option<Proposal> {
@@ -323,12 +323,12 @@
     let Some((kept, revision)) = kept_with(d, service, &proposal) else { return Ok(()) };
     let key = keys::rollout(service);
     let value = rpc::encode(&kept);
-    let swap = d.platform.swap(&key, revision, &value, None).await;
+    let swap = d.store.swap(&key, revision, &value, None).await;
     if let Err(err) = &swap {
         log::info!("rollout of {service}: whether a step was written is looked up: {err}");
     }
     // The answer may be lost, or another daemon may have written.
-    let pair = d.platform.get(&key).await?;
+    let pair = d.store.get(&key).await?;
     if !decides_in_this_era(d, service) {
         // The rollout is taken on again first, and the step is wished again.
         return Ok(());
@@ -408,17 +408,17 @@
 }
 
 async fn write_status(d: &Daemon, order: &Order, state: RolloutState) -> Result<(), PlatformError> {
-    let Some(hosted) = &d.hosted else { return Ok(()) };
+    let Some(hosted) = &d.platform_adapter else { return Ok(()) };
     let key = hosted.rollout_status_key(&order.service);
     let status =
         RolloutStatus { service: order.service.clone(), target: order.target.clone(), state };
     let value = hosted.rollout_status(&status);
-    let known = d.platform.get(&key).await?;
+    let known = d.store.get(&key).await?;
     if known.as_ref().is_some_and(|pair| pair.value == value && pair.revision > order.revision) {
         return Ok(());
     }
     let revision = known.map_or(Revision::ABSENT, |pair| pair.revision);
-    match d.platform.swap(&key, revision, &value, None).await? {
+    match d.store.swap(&key, revision, &value, None).await? {
         Swap::Done => Ok(()),
         Swap::Lost => Err(PlatformError::NotDone("the status was written meanwhile".to_string())),
     }
@@ -427,7 +427,7 @@
 async fn let_go(d: &Daemon, service: &str) -> Result<(), PlatformError> {
     let decision = lock(&d.rollouts.decisions).remove(service);
     match decision {
-        Some(decision) => d.platform.revoke(decision.lease).await,
+        Some(decision) => d.store.revoke(decision.lease).await,
         None => Ok(()),
     }
 }
--- a/src/daemon/rollouts/mod.rs
+++ b/src/daemon/rollouts/mod.rs
@@ -153,7 +153,7 @@
     }
 
     fn decode(&self, d: &Daemon, pair: &Pair) -> Option<Order> {
-        let decoded = d.hosted.as_ref()?.order(&pair.value, pair.revision);
+        let decoded = d.platform_adapter.as_ref()?.order(&pair.value, pair.revision);
         let order =
             decoded.inspect_err(|err| log::warn!("{} is no order: {err}", pair.key)).ok()?;
         let stages = lock(&self.stages);
--- a/src/daemon/rollouts/report.rs
+++ b/src/daemon/rollouts/report.rs
@@ -25,7 +25,7 @@
         if d.rollouts.expire(d.clock.now()) {
             d.services.sync(&d);
         }
-        if d.follows.load(Ordering::Relaxed) {
+        if d.follows_store.load(Ordering::Relaxed) {
             decider::publish(&d);
         }
         for stage in d.rollouts.stages() {
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -240,7 +240,7 @@
         .filter_map(|endpoint| {
             let Endpoint { service, version, instance, .. } = endpoint;
             let name = d.rollouts.lane_of(service, version, instance)?;
-            let has_left = d.signals.has_left(record.host, instance);
+            let has_left = d.in_band_signals.has_left(record.host, instance);
             let known = Known {
                 host: record.host,
                 instance: endpoint.instance.clone(),
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -118,7 +118,7 @@
             Some(err)
         };
         let lost = smol::future::or(lost, relieved).await;
-        d.follows.store(false, Ordering::Relaxed);
+        d.follows_store.store(false, Ordering::Relaxed);
         let Some(err) = lost else {
             log::info!("configuration: left to members that follow the store");
             continue;
@@ -179,15 +179,15 @@
 }
 
 async fn send_heartbeats(d: &Daemon) {
-    if !d.follows.load(Ordering::Relaxed) {
+    if !d.follows_store.load(Ordering::Relaxed) {
         return;
     }
     let followers = d.members.followers();
     if !followers.contains(&d.me) {
         return;
     }
-    for host in d.members.members_of(&followers, d.me) {
-        datagrams::tell(d, host).await;
+    for host in d.members.heartbeat_targets(&followers, d.me) {
+        datagrams::send_heartbeat(d, host).await;
     }
 }
 
@@ -201,7 +201,7 @@
     let (document, now) = (&d.versions.document, d.clock.now());
     let is_its_turn = d.members.followers().contains(&d.me);
     let wait = if is_its_turn { READ_WAIT.0 } else { READ_WAIT.1 };
-    if !d.follows.load(Ordering::Relaxed) && document.was_just_read(now, wait) {
+    if !d.follows_store.load(Ordering::Relaxed) && document.was_just_read(now, wait) {
         return false;
     }
     is_its_turn || !document.is_covered(now)
@@ -221,7 +221,7 @@
     if may_wait(d, member, member_follows, behind) {
         return;
     }
-    if d.learning.swap(true, Ordering::Relaxed) {
+    if d.is_fetching_config.swap(true, Ordering::Relaxed) {
         return;
     }
     if let Some(to) = d.members.address(member) {
@@ -229,7 +229,7 @@
             log::debug!("no configuration from {to}: {err}");
         }
     }
-    d.learning.store(false, Ordering::Relaxed);
+    d.is_fetching_config.store(false, Ordering::Relaxed);
 }
 
 /// Returns whether a newer version that a member runs is better left to the way by
@@ -245,7 +245,7 @@
     if document.version() == 0 {
         return behind < FIRST_READING;
     }
-    if d.follows.load(Ordering::Relaxed) && document.is_fresh(now, FOLLOWING) {
+    if d.follows_store.load(Ordering::Relaxed) && document.is_fresh(now, FOLLOWING) {
         return behind < BEHIND_MOST;
     }
     if !document.is_covered(now) {
@@ -325,7 +325,7 @@
             let after = let_settle(d, key, pair.revision).await?;
             // Orders that were written meanwhile are not reported any more.
             read_orders(d).await?;
-            watch = d.platform.watch_from(d.operator_prefix(), after).await?;
+            watch = d.store.watch_from(d.operator_prefix(), after).await?;
         }
     }
 }
@@ -334,8 +334,8 @@
 fn take_orders_of(d: &Daemon, changes: &[Change]) {
     for change in changes {
         match change {
-            Change::Put(pair) if d.is_order(&pair.key) => d.rollouts.take_order(d, pair),
-            Change::Deleted(key) if d.is_order(key) => {
+            Change::Put(pair) if d.is_rollout_order(&pair.key) => d.rollouts.take_order(d, pair),
+            Change::Deleted(key) if d.is_rollout_order(key) => {
                 d.rollouts.take_back(key.rsplit('/').next().unwrap_or_default());
             }
             Change::Put(_) | Change::Deleted(_) => {}
@@ -345,8 +345,8 @@
 
 /// Reads all orders of rollouts.
 async fn read_orders(d: &Daemon) -> Result<(), PlatformError> {
-    let Some(hosted) = &d.hosted else { return Ok(()) };
-    let pairs = d.platform.list(hosted.order_prefix(), false).await?;
+    let Some(hosted) = &d.platform_adapter else { return Ok(()) };
+    let pairs = d.store.list(hosted.order_prefix(), false).await?;
     d.rollouts.take_orders(d, &pairs);
     Ok(())
 }
@@ -354,13 +354,13 @@
 /// Begins to watch the key from what is in force here, or from its first reading.
 async fn begin(d: &Daemon, key: &str) -> Result<ClientWatch, PlatformError> {
     let known = d.versions.document.revision();
-    let is_of_now = d.platform.era().is_none_or(|era| era == known.era);
+    let is_of_now = d.store.era().is_none_or(|era| era == known.era);
     if !known.is_absent() && is_of_now {
         read_orders(d).await?;
-        return d.platform.watch_from(d.operator_prefix(), known).await;
+        return d.store.watch_from(d.operator_prefix(), known).await;
     }
-    let (pairs, watch) = d.platform.list_and_watch(d.operator_prefix()).await?;
-    let is_order = |pair: &&Pair| d.is_order(&pair.key);
+    let (pairs, watch) = d.store.list_and_watch(d.operator_prefix()).await?;
+    let is_order = |pair: &&Pair| d.is_rollout_order(&pair.key);
     let orders: Vec<Pair> = pairs.iter().filter(is_order).cloned().collect();
     d.rollouts.take_orders(d, &orders);
     for pair in pairs.into_iter().filter(|pair| pair.key == key) {
@@ -390,7 +390,7 @@
 
 /// Reads the key and puts its version in force; returns its position.
 async fn read(d: &Daemon, key: &str) -> Result<Option<Revision>, PlatformError> {
-    let Some(pair) = d.platform.get(key).await? else { return Ok(None) };
+    let Some(pair) = d.store.get(key).await? else { return Ok(None) };
     take(d, Bytes::from(pair.value), pair.revision, "store");
     Ok(Some(pair.revision))
 }
@@ -398,7 +398,7 @@
 /// Notes that the store was asked and has nothing newer.
 fn note_current(d: &Daemon, now: Instant) {
     d.versions.document.confirm(now);
-    d.follows.store(true, Ordering::Relaxed);
+    d.follows_store.store(true, Ordering::Relaxed);
 }
 
 /// Puts a version in force if it is good and newer; otherwise the last good one
@@ -420,7 +420,7 @@
     let limits = running.table.limits;
     let routes = running.table.len();
     // Members ask a follower only; the others need not hold what they ran before.
-    let keep_older = d.follows.load(Ordering::Relaxed);
+    let keep_older = d.follows_store.load(Ordering::Relaxed);
     if !d.versions.install(running, revision, text, keep_older) {
         return;
     }
--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -54,6 +54,6 @@
 
 /// Returns the readers of other failure domains.
 pub fn far_readers(d: &Daemon) -> Vec<SocketAddr> {
-    let far = d.members.far();
+    let far = d.members.live_in_other_domains();
     far.iter().filter(|record| record.reader).map(|record| record.far).collect()
 }
--- a/src/daemon/stage.rs
+++ b/src/daemon/stage.rs
@@ -215,7 +215,7 @@
 async fn from_platform(d: &Arc<Daemon>, hashes: &[ObjectHash]) -> Result<(), StageError> {
     for batch in hashes.chunks(PLATFORM_BATCH) {
         let names: Vec<String> = batch.iter().map(|hash| keys::object(*hash)).collect();
-        let pairs = d.platform.get_many(&names).await.map_err(StageError::Platform)?;
+        let pairs = d.store.get_many(&names).await.map_err(StageError::Platform)?;
         for pair in pairs {
             let hash = pair.key.strip_prefix(keys::OBJECTS).and_then(ObjectHash::from_hex);
             d.costs.add(Purpose::Control, false, pair.value.len());
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -52,7 +52,7 @@
             "labels": d.settings.labels,
         },
         "reader": own.reader,
-        "follows_store": d.follows.load(Ordering::Relaxed),
+        "follows_store": d.follows_store.load(Ordering::Relaxed),
         "leaving": d.is_leaving(),
         "running": versions.running,
         "running_since_ms": versions.since_ms,
--- a/src/daemon/upstreams.rs
+++ b/src/daemon/upstreams.rs
@@ -50,7 +50,7 @@
     let Ok(buf) = body::read(incoming, MAX_BODY).await else {
         return headers::plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n");
     };
-    if let Some(hosted) = &d.hosted {
+    if let Some(hosted) = &d.platform_adapter {
         match hosted.report(&head.method, head.uri.path(), &buf) {
             Ok(Some(report)) => return take_report(&d, report),
             Ok(None) => {}
@@ -69,7 +69,7 @@
         (&Method::GET, ["v1", "rollouts"]) => json(status::rollouts(&d)),
         (&Method::GET, ["v1", "organisations"]) => json(quotas::fleet(&d).await),
         (&Method::DELETE, ["v1", "quarantine", call]) => lift(&d, call).await,
-        (&Method::GET, ["v1", "record"]) => json(d.record.to_json()),
+        (&Method::GET, ["v1", "record"]) => json(d.delivery_record.to_json()),
         _ => headers::plain(StatusCode::NOT_FOUND, "no such path; see docs/UPSTREAMS.md\n"),
     }
 }
