--- a/src/daemon/datagrams.rs
+++ b/src/daemon/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams to other daemons; [`super::gossip`] takes them in.
+//! Sends datagrams to other daemons; [`super::gossip`] receives them.
 
 use super::Daemon;
 use super::costs::Purpose;
@@ -10,20 +10,21 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-/// Bytes of IP and UDP heads, for the count.
-const UDP_HEAD: usize = 28;
+/// Bytes of the IP and UDP headers, for the traffic counters.
+const UDP_IP_HEADER_BYTES: usize = 28;
 
-/// Asks a member for a sign of life.
+/// Sends a probe to a member.
 pub async fn ping(d: &Daemon, host: HostKey) {
     send(d, host, Kind::Ping, Vec::new()).await;
 }
 
-/// Tells a member which version is in force here.
+/// Sends a heartbeat to a member, which names the active version and whether this daemon
+/// follows the store.
 pub async fn send_heartbeat(d: &Daemon, host: HostKey) {
     send(d, host, Kind::News, Vec::new()).await;
 }
 
-/// Tells a member of calls that are suspected of ending upstreams.
+/// Sends a member the calls that are suspected of ending upstreams.
 pub async fn send_suspicions(d: &Daemon, host: HostKey, suspicions: Vec<Suspicion>) {
     if let Some(to) = d.members.address(host) {
         send_datagram(d, (host, to), Kind::News, Piggyback { suspicions, ..Piggyback::default() })
@@ -31,7 +32,7 @@
     }
 }
 
-/// Tells the keeper of some limits what this daemon saw of them.
+/// Sends usage reports to the keeper of their limits.
 pub async fn send_usages(d: &Daemon, keeper: HostKey, usages: Vec<Usage>) {
     if let Some(to) = d.members.address(keeper) {
         send_datagram(d, (keeper, to), Kind::News, Piggyback { usages, ..Piggyback::default() })
@@ -39,60 +40,61 @@
     }
 }
 
-/// Tells a member of limits that are held back.
+/// Sends a member a notice of throttled limits.
 pub async fn send_notice(d: &Daemon, host: HostKey, notice: Notice) {
     if let Some(to) = d.members.address(host) {
-        let news = Piggyback { notice: Some(notice), ..Piggyback::default() };
-        send_datagram(d, (host, to), Kind::News, news).await;
+        let piggyback = Piggyback { notice: Some(notice), ..Piggyback::default() };
+        send_datagram(d, (host, to), Kind::News, piggyback).await;
     }
 }
 
-/// Sends a datagram to a member, if its address is known.
+/// Sends a datagram with membership records to a member, if its address is known.
 pub async fn send(d: &Daemon, host: HostKey, kind: Kind, records: Vec<Record>) {
     if let Some(to) = d.members.address(host) {
         send_to(d, (host, to), kind, records).await;
     }
 }
 
-/// Sends a datagram to an address of a member.
+/// Sends a datagram with membership records to a given address of a member.
 pub async fn send_to(d: &Daemon, to: (HostKey, SocketAddr), kind: Kind, records: Vec<Record>) {
     send_datagram(d, to, kind, Piggyback { records, ..Piggyback::default() }).await;
 }
 
-/// What rides along with a datagram.
+/// Data piggybacked on a datagram.
 #[derive(Default)]
 pub struct Piggyback {
-    /// What is new of members.
+    /// Changed membership records.
     pub records: Vec<Record>,
     /// Calls that are suspected of ending upstreams.
     pub suspicions: Vec<Suspicion>,
-    /// What this daemon saw of limits.
+    /// Usage reports for limits that the receiver keeps.
     pub usages: Vec<Usage>,
-    /// What others may admit of limits.
+    /// Grants to the receiver for limits that this daemon keeps.
     pub grants: Vec<Grant>,
-    /// Limits that are held back.
+    /// Notice of throttled limits.
     pub notice: Option<Notice>,
 }
 
 impl Piggyback {
-    fn is_empty(&self) -> bool {
+    /// Returns whether there are neither records nor suspicions.
+    fn has_no_gossip(&self) -> bool {
         self.records.is_empty() && self.suspicions.is_empty()
     }
 
-    fn is_of_limits(&self) -> bool {
+    fn has_limit_data(&self) -> bool {
         !self.usages.is_empty() || !self.grants.is_empty() || self.notice.is_some()
     }
 }
 
-/// Sends a datagram with all that rides along.
+/// Encodes, seals and sends a datagram with piggybacked data.
 pub async fn send_datagram(
     d: &Daemon,
     (host, to): (HostKey, SocketAddr),
     kind: Kind,
-    news: Piggyback,
+    piggyback: Piggyback,
 ) {
-    let purpose = match (kind, news.is_empty()) {
-        _ if news.is_of_limits() => Purpose::Limit,
+    let purpose = match (kind, piggyback.has_no_gossip()) {
+        _ if piggyback.has_limit_data() => Purpose::Limit,
         (Kind::News, true) => Purpose::Heartbeat,
         (Kind::News, false) => Purpose::News,
         _ => Purpose::Probe,
@@ -103,15 +105,15 @@
         active: d.versions.active_version(),
         follows: d.follows_store.load(Ordering::Relaxed),
         digest: d.members.digest(),
-        records: news.records,
+        records: piggyback.records,
         suspects: d.quarantine.summary(d.clock.now()),
-        suspicions: news.suspicions,
-        usages: news.usages,
-        grants: news.grants,
-        notice: news.notice,
+        suspicions: piggyback.suspicions,
+        usages: piggyback.usages,
+        grants: piggyback.grants,
+        notice: piggyback.notice,
     };
     let buf = datagram.encode(&d.key);
-    d.costs.add(purpose, d.members.is_far(host), buf.len() + UDP_HEAD);
-    // A datagram that cannot be sent is one that was lost; probes tell.
+    d.costs.add(purpose, d.members.is_in_other_domain(host), buf.len() + UDP_IP_HEADER_BYTES);
+    // A datagram that cannot be sent counts as lost: probes detect unreachable members.
     let _lost = d.udp.send_to(&buf, to).await;
 }
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -1,4 +1,4 @@
-//! Probes and gossip over UDP.
+//! Runs probes and gossip over UDP, and handles received datagrams.
 
 use super::datagrams::{Piggyback, ping, send, send_datagram, send_to};
 use super::{Daemon, catch_up, limits, liveness, quarantine, source};
@@ -13,83 +13,84 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at what is due while there is news to tell.
+/// Interval of rounds while records are queued for gossip.
 const TICK: Duration = Duration::from_millis(100);
-/// The same while all is quiet; waking up is most of an idle daemon's work.
-const QUIET_TICK: Duration = Duration::from_millis(200);
-/// Time between two probes of members that are believed dead: they may have come
-/// back without a way to find the others.
-const LOST_EVERY: Duration = Duration::from_millis(500);
-/// Rounds sent at once when a daemon leaves.
+/// Interval of rounds while the queue is empty. It is longer because wake-ups are most of the
+/// work of an idle daemon.
+const IDLE_TICK: Duration = Duration::from_millis(200);
+/// Interval of probes to members marked as dead: they may have come back without a way to
+/// find the others.
+const DEAD_PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Rounds sent without a pause when a daemon leaves.
 const FLUSH_ROUNDS: usize = 4;
-/// Differing digests in a row before tables are compared whole; one or two are
-/// only news under way.
-const DIFFERENCES: u32 = 3;
-/// Time between two comparisons of whole tables.
-const SYNC_EVERY: Duration = Duration::from_millis(1500);
+/// Consecutive differing digests before whole tables are compared. One or two usually mean
+/// that updates are still in flight.
+const DIFFERENCES_BEFORE_SYNC: u32 = 3;
+/// Shortest time between two comparisons of whole tables.
+const SYNC_INTERVAL: Duration = Duration::from_millis(1500);
+/// Shortest time between two table comparisons with senders that have no record here.
+const JOIN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two questions to members that are not known yet.
-const JOIN_EVERY: Duration = Duration::from_millis(250);
-
-/// Differences between this daemon's table and those of others.
+/// When to compare tables with other daemons.
 #[derive(Default)]
-struct Differences {
-    in_a_row: u32,
+struct SyncState {
+    /// Consecutive differing digests.
+    differing_digests: u32,
     last_sync: Option<Instant>,
-    /// When a member that was not known was last asked for its table.
+    /// When tables were last compared with a sender that had no record here.
     last_join: Option<Instant>,
 }
 
-/// Probes and tells until cancelled.
+/// Sends probes and gossip until cancelled.
 pub async fn run(d: Arc<Daemon>) {
-    let mut next_lost = d.clock.now();
-    let mut last_round = next_lost;
+    let mut next_dead_probe = d.clock.now();
+    let mut last_round = next_dead_probe;
     loop {
-        let quiet = d.members.is_quiet();
-        smol::Timer::after(if quiet { QUIET_TICK } else { TICK }).await;
+        let is_idle = d.members.is_queue_empty();
+        smol::Timer::after(if is_idle { IDLE_TICK } else { TICK }).await;
         let now = d.clock.now();
-        for probe in d.members.tick(now, fastrand::u64(..)) {
-            act(&d, probe).await;
+        for action in d.members.tick(now, fastrand::u64(..)) {
+            perform(&d, action).await;
         }
         liveness::ping_silent_hosts(&d, now.saturating_duration_since(last_round)).await;
         last_round = now;
-        if now >= next_lost && d.settings.interface == InterfaceKind::Platform {
-            next_lost = now + LOST_EVERY;
+        if now >= next_dead_probe && d.settings.interface == InterfaceKind::Platform {
+            next_dead_probe = now + DEAD_PROBE_INTERVAL;
             if let Some(host) = fastrand::choice(&d.members.dead_hosts()) {
                 ping(&d, *host).await;
             }
         }
-        if !d.members.is_quiet() {
-            round(&d).await;
+        if !d.members.is_queue_empty() {
+            send_round(&d).await;
         }
     }
 }
 
-/// Tells what there is to tell at once.
+/// Sends queued records without waiting for the next rounds.
 pub async fn flush(d: &Daemon) {
     for _ in 0..FLUSH_ROUNDS {
-        round(d).await;
+        send_round(d).await;
     }
 }
 
-/// Takes datagrams in until cancelled.
+/// Receives datagrams until cancelled.
 pub async fn receive(d: Arc<Daemon>) {
     let mut buf = vec![0; MAX_DATAGRAM + 1];
-    let mut differences = Differences::default();
+    let mut sync = SyncState::default();
     loop {
         let Ok((len, from)) = d.udp.recv_from(&mut buf).await else {
             smol::Timer::after(TICK).await;
             continue;
         };
         match Datagram::decode(&buf[..len], &d.key) {
-            Ok(datagram) => take(&d, datagram, from, &mut differences).await,
+            Ok(datagram) => handle(&d, datagram, from, &mut sync).await,
             Err(_) => d.metrics.incr("gossip.malformed"),
         }
     }
 }
 
-async fn act(d: &Arc<Daemon>, probe: Action) {
-    match probe {
+async fn perform(d: &Arc<Daemon>, action: Action) {
+    match action {
         Action::DirectProbe(target) => send(d, target, Kind::Ping, Vec::new()).await,
         Action::IndirectProbe { helper, target } => {
             send(d, helper, Kind::PingFor { target }, Vec::new()).await;
@@ -105,13 +106,13 @@
         Action::Frozen(gap) => {
             log::warn!("this daemon was frozen for {gap:?}");
             d.metrics.incr("paused");
-            rejoin(d).await;
+            resync_after_freeze(d).await;
         }
     }
 }
 
-/// After a pause: speaks up, and compares tables with somebody.
-async fn rejoin(d: &Arc<Daemon>) {
+/// Announces this daemon again after it was frozen, and compares tables with a random member.
+async fn resync_after_freeze(d: &Arc<Daemon>) {
     d.members.update_own(d, |_| {});
     let others = d.members.others();
     if let Some(host) = fastrand::choice(&others) {
@@ -125,22 +126,18 @@
     }
 }
 
-async fn round(d: &Daemon) {
-    let audience = d.members.gossip_targets();
+/// Sends one round of gossip.
+async fn send_round(d: &Daemon) {
+    let targets = d.members.gossip_targets();
     let records = d.members.take_round();
     for records in records.chunks(RECORDS_PER_DATAGRAM) {
-        for host in &audience {
+        for host in &targets {
             send(d, *host, Kind::News, records.to_vec()).await;
         }
     }
 }
 
-async fn take(
-    d: &Arc<Daemon>,
-    datagram: Datagram,
-    from: SocketAddr,
-    differences: &mut Differences,
-) {
+async fn handle(d: &Arc<Daemon>, datagram: Datagram, from: SocketAddr, sync: &mut SyncState) {
     let Datagram {
         from: host,
         kind,
@@ -174,7 +171,7 @@
     match kind {
         Kind::Ping => send_to(d, (host, from), Kind::Ack, Vec::new()).await,
         Kind::Ack => d.members.answered(host),
-        Kind::PingFor { target } => help(d, host, target),
+        Kind::PingFor { target } => probe_for(d, host, target),
         Kind::AckFor { target } => d.members.answered(target),
         Kind::News => {}
     }
@@ -189,15 +186,15 @@
         .detach();
     }
     if d.members.get(host).is_none() {
-        // Failure: a daemon starts while the store is out and finds nobody.
-        // Symptom: it stays alone although the others live. They go on probing
-        // its address, and whoever probes is somebody to join. Not all of them at
-        // once: where everything starts, hundreds speak before they are known.
+        // Failure: a daemon starts while the store is out and finds no other daemon.
+        // Symptom: it stays alone although the others run. They go on probing its address,
+        // so it compares tables with a daemon that probes it. JOIN_INTERVAL limits the rate:
+        // when the whole mesh starts, hundreds of senders have no record here yet.
         let now = d.clock.now();
-        if differences.last_join.is_some_and(|at| now < at + JOIN_EVERY) {
+        if sync.last_join.is_some_and(|at| now < at + JOIN_INTERVAL) {
             return;
         }
-        differences.last_join = Some(now);
+        sync.last_join = Some(now);
         let d = d.clone();
         exec::spawn(async move {
             catch_up::sync_with(&d, from).await;
@@ -206,43 +203,45 @@
         return;
     }
     if matches!(kind, Kind::Ping | Kind::Ack) {
-        compare(d, digest, from, differences);
+        check_digest(d, digest, from, sync);
         if suspects != d.quarantine.summary(d.clock.now()) {
             quarantine::differs(d, from);
         }
     }
 }
 
-/// Pings a member for another and reports whether it answered, by asking it for
-/// its version over the mesh port.
-fn help(d: &Arc<Daemon>, asker: HostKey, target: HostKey) {
+/// Probes a member on behalf of `requester`, by asking `target` for its active version over
+/// the mesh port, and reports to `requester` if it answers.
+fn probe_for(d: &Arc<Daemon>, requester: HostKey, target: HostKey) {
     let Some(to) = d.members.address(target) else { return };
     let d = d.clone();
     exec::spawn(async move {
-        let ask = cicadashift_wire::rpc::Request::Current;
-        let time = Duration::from_millis(400);
-        if super::peers::ask(&d, to, &ask, time).await.is_ok() {
-            send(&d, asker, Kind::AckFor { target }, Vec::new()).await;
+        let request = cicadashift_wire::rpc::Request::Current;
+        let timeout = Duration::from_millis(400);
+        if super::peers::ask(&d, to, &request, timeout).await.is_ok() {
+            send(&d, requester, Kind::AckFor { target }, Vec::new()).await;
         }
     })
     .detach();
 }
 
-fn compare(d: &Arc<Daemon>, digest: u64, from: SocketAddr, differences: &mut Differences) {
-    // While there is news to tell, tables differ because it is under way; whole
-    // tables on top of it would cost many times the news.
-    if digest == d.members.digest() || !d.members.is_quiet() {
-        differences.in_a_row = 0;
+/// Compares the digest of a sender's table with the own one, and starts a comparison of whole
+/// tables after [`DIFFERENCES_BEFORE_SYNC`] differing digests in a row.
+fn check_digest(d: &Arc<Daemon>, digest: u64, from: SocketAddr, sync: &mut SyncState) {
+    // While records are queued, tables differ because updates are in flight. Comparing whole
+    // tables as well would cost many times the bytes of these updates.
+    if digest == d.members.digest() || !d.members.is_queue_empty() {
+        sync.differing_digests = 0;
         return;
     }
-    differences.in_a_row += 1;
+    sync.differing_digests += 1;
     let now = d.clock.now();
-    let early = differences.last_sync.is_some_and(|at| now < at + SYNC_EVERY);
-    if differences.in_a_row < DIFFERENCES || early {
+    let is_too_early = sync.last_sync.is_some_and(|at| now < at + SYNC_INTERVAL);
+    if sync.differing_digests < DIFFERENCES_BEFORE_SYNC || is_too_early {
         return;
     }
-    differences.in_a_row = 0;
-    differences.last_sync = Some(now);
+    sync.differing_digests = 0;
+    sync.last_sync = Some(now);
     let d = d.clone();
     exec::spawn(async move {
         catch_up::sync_with(&d, from).await;
--- a/src/daemon/greet.rs
+++ b/src/daemon/greet.rs
@@ -1,9 +1,9 @@
-//! Asking the upstream on this host who it is, once after a start.
+//! Identifies the upstream on this host after a start of the daemon, by a health request.
 //!
-//! Failure: a daemon is restarted beside an upstream that lives on. Symptom: the
-//! upstream gets no work until its next report, some 0.75 s on average, and its
-//! service is short of it for that time. One question after the start makes good
-//! for it. Reports remain what is believed from then on.
+//! Failure: a daemon is restarted while the upstream on its host goes on running. Symptom: the
+//! upstream gets no calls until its next report, about 0.75 s on average, and its service lacks
+//! capacity for that time. The answer to a health request registers the upstream at once;
+//! from then on its own reports take precedence.
 
 use super::Daemon;
 use super::in_band::{self, Signals};
@@ -17,36 +17,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for an answer; an upstream that is busy with its slots takes a while.
-const ASK_TIME: Duration = Duration::from_millis(800);
-/// Questions at most; after them the upstream's own report is near.
+/// Timeout of a request; an upstream whose slots are all busy answers late.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
+/// Most requests that are sent; after them the upstream's own report is due soon.
 const ATTEMPTS: u32 = 3;
-/// Pause between two questions.
+/// Pause between two requests.
 const PAUSE: Duration = Duration::from_millis(200);
-/// Step in which the first configuration is waited for: it tells where to ask.
-const STEP: Duration = Duration::from_millis(20);
-/// Longest answer.
+/// Interval of checks for the first configuration, which names the health path.
+const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Largest response body, in bytes.
 const MAX_BODY: usize = 4096;
 
-/// Asks until the upstream is known.
+/// Sends health requests until the upstream on this host is registered, at most `ATTEMPTS`.
 pub async fn run(d: Arc<Daemon>) {
     let Some(address) = d.settings.upstream else { return };
     while d.versions.running_version() == 0 {
-        smol::Timer::after(STEP).await;
+        smol::Timer::after(CONFIG_POLL_INTERVAL).await;
     }
     for _ in 0..ATTEMPTS {
         if !d.gates.all().is_empty() {
             return;
         }
-        let asked = d.clock.now();
-        if let Some((announced, signals)) = ask(&d, address).await
+        let sent = d.clock.now();
+        if let Some((announced, signals)) = request_identity(&d, address).await
             && d.gates.all().is_empty()
         {
             log::info!("upstream {} was found by asking it", announced.instance);
             let name = announced.instance.clone();
             d.gates.announce(&d, announced);
             if let Some(local) = d.gates.get(&name) {
-                in_band::apply(&d, &local, signals, asked);
+                in_band::apply(&d, &local, signals, sent);
             }
             return;
         }
@@ -54,12 +54,13 @@
     }
 }
 
-async fn ask(d: &Daemon, address: SocketAddr) -> Option<(Announcement, Signals)> {
+/// Sends a health request, and returns the announcement and in-band signals in its answer.
+async fn request_identity(d: &Daemon, address: SocketAddr) -> Option<(Announcement, Signals)> {
     let service = d.settings.services.first()?;
     let path = d.versions.health_path(service)?;
     let req = Request::get(path).header("host", address.to_string()).body(body::empty()).ok()?;
-    let answer = Pool::new(1).exchange(address, req, MAX_BODY, ASK_TIME).await;
-    let res = answer.inspect_err(|err| log::info!("upstream {address}: {err}")).ok()?;
+    let result = Pool::new(1).exchange(address, req, MAX_BODY, REQUEST_TIMEOUT).await;
+    let res = result.inspect_err(|err| log::info!("upstream {address}: {err}")).ok()?;
     if res.status() != StatusCode::OK {
         return None;
     }
@@ -70,20 +71,20 @@
         instance: instance.to_string(),
         start: 0,
         service: service.clone(),
-        // Only its own reports tell.
+        // Only the upstream's own reports name it.
         version: String::new(),
         address,
         slots: slots(load)?,
         readiness: Readiness::Ready,
-        // Every report of the instance itself is newer.
+        // The lowest number, so that every report of the upstream itself is newer.
         sequence: 0,
         cold_for: Duration::ZERO,
     };
     Some((announced, signals))
 }
 
-/// Returns the slots that a load names: running, waiting, slots, and for some upstreams
-/// how long work takes now.
+/// Parses the number of slots from a load report: running calls, waiting calls, slots and, for
+/// some upstreams, the present duration of a call.
 fn slots(load: &str) -> Option<u16> {
     load.split(',').nth(2)?.trim().parse().ok().filter(|slots| *slots > 0)
 }
--- a/src/daemon/liveness.rs
+++ b/src/daemon/liveness.rs
@@ -1,6 +1,7 @@
-//! Signs of life of other hosts, as they come and are missed.
+//! Detects silent hosts while calls to them are in flight.
 //!
-//! [`cicadashift_core::membership::liveness`] decides what they mean.
+//! This module feeds signs of life to [`cicadashift_core::membership::liveness`], which
+//! decides when a host is silent, and applies the decisions.
 
 use super::{Daemon, datagrams, lock};
 use cicadashift_core::ids::HostKey;
@@ -8,20 +9,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two looks while a call is under way.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Time that a call waits itself before it counts its host as silent.
-const OWN_WAIT: Duration = Duration::from_millis(300);
-/// Gap between two rounds of gossip, which come every 200 ms, that means that
-/// this daemon itself stood still.
-const STOOD_STILL: Duration = Duration::from_millis(600);
-/// Silent hosts pinged in one round, so that twenty are found again within half
-/// a second.
-const PINGED_AT_ONCE: usize = 8;
+/// Interval of checks while a call is in flight.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Shortest time that a call waits before it treats its host as silent, even if other calls
+/// have already found the host silent.
+const MIN_CALL_WAIT: Duration = Duration::from_millis(300);
+/// Gap between two rounds of gossip from which on this daemon counts as having been frozen.
+/// Rounds come every 200 ms.
+const FROZEN_GAP: Duration = Duration::from_millis(600);
+/// Silent hosts pinged in one round: of twenty that come back, all are found within half a
+/// second.
+const PINGS_PER_ROUND: usize = 8;
 
-/// Notes that something came from a host.
+/// Records a datagram or an answer from a host as a sign of life.
 pub fn note_received(d: &Daemon, host: HostKey) {
-    let (was_silent, may_be_presumed) = {
+    let (was_silent, any_presumed) = {
         let mut liveness = lock(&d.liveness);
         let was_silent = liveness.received(host, d.clock.now());
         (was_silent, was_silent && liveness.has_presumed())
@@ -31,43 +33,43 @@
     }
     log::info!("host {} gives signs of life again", d.members.name_of(host));
     d.services.set_silent(host, false);
-    if may_be_presumed {
-        let back = lock(&d.liveness).clear_presumed(&d.members.beside(host));
-        back.into_iter().for_each(|host| d.services.set_silent(host, false));
+    if any_presumed {
+        let cleared = lock(&d.liveness).clear_presumed(&d.members.same_domain_hosts(host));
+        cleared.into_iter().for_each(|host| d.services.set_silent(host, false));
     }
 }
 
-/// Does what is due once in a round of gossip: pings hosts that are taken for
-/// silent, to find out when they are back.
+/// Pings some of the hosts marked as silent, to detect when they are back; runs once in each
+/// round of gossip. Resets the detector if this daemon was frozen.
 pub async fn ping_silent_hosts(d: &Daemon, since_last: Duration) {
-    if since_last >= STOOD_STILL {
+    if since_last >= FROZEN_GAP {
         lock(&d.liveness).reset(d.clock.now());
     }
     let mut hosts = lock(&d.liveness).silent_hosts();
     fastrand::shuffle(&mut hosts);
-    for host in hosts.into_iter().take(PINGED_AT_ONCE) {
+    for host in hosts.into_iter().take(PINGS_PER_ROUND) {
         datagrams::ping(d, host).await;
     }
 }
 
-/// Returns when a host has been silent for too long during a call.
+/// Returns once a host has been silent for too long during a call.
 ///
-/// That others wait for it in vain says little about a call that was sent a moment
-/// ago and may have just reached a slow host: each waits for [`OWN_WAIT`] itself.
+/// A host marked as silent because of other calls may only be slow, and a call that was sent
+/// a moment ago may have just reached it: each call waits at least [`MIN_CALL_WAIT`].
 pub async fn wait_until_silent(d: &Arc<Daemon>, host: HostKey) {
     if host == d.me {
         return std::future::pending().await;
     }
     let started = d.clock.now();
     loop {
-        smol::Timer::after(LOOK_EVERY).await;
+        smol::Timer::after(CHECK_INTERVAL).await;
         let now = d.clock.now();
-        match look(d, host) {
+        match check(d, host) {
             Check::Wait => {}
             Check::Ping => datagrams::ping(d, host).await,
             Check::Silent => {
-                note_silent(d, host);
-                if now.saturating_duration_since(started) >= OWN_WAIT {
+                mark_silent(d, host);
+                if now.saturating_duration_since(started) >= MIN_CALL_WAIT {
                     return;
                 }
             }
@@ -75,11 +77,11 @@
     }
 }
 
-fn look(d: &Daemon, host: HostKey) -> Check {
+fn check(d: &Daemon, host: HostKey) -> Check {
     lock(&d.liveness).check(host, d.clock.now())
 }
 
-fn note_silent(d: &Daemon, host: HostKey) {
+fn mark_silent(d: &Daemon, host: HostKey) {
     let now = d.clock.now();
     if !lock(&d.liveness).mark_silent(host, now) {
         return;
@@ -87,13 +89,13 @@
     log::warn!("host {} gives no sign of life and gets no calls", d.members.name_of(host));
     d.metrics.incr("host.silent");
     d.services.set_silent(host, true);
-    if !d.members.is_far(host) {
+    if !d.members.is_in_other_domain(host) {
         return;
     }
-    let presumed = lock(&d.liveness).presume_silent(&d.members.beside(host), now);
+    let presumed = lock(&d.liveness).presume_silent(&d.members.same_domain_hosts(host), now);
     if !presumed.is_empty() {
         let count = presumed.len();
-        log::warn!("nothing is heard of its failure domain: {count} more hosts get no calls");
+        log::warn!("nothing received from its failure domain: {count} more hosts get no calls");
         presumed.into_iter().for_each(|host| d.services.set_silent(host, true));
     }
 }
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -1,4 +1,5 @@
-//! Membership's state: the table, what is to be told, who answers.
+//! Membership state of one daemon: the table of records, the queue of changes to gossip,
+//! and the failure detector.
 
 use super::{Daemon, lock};
 use crate::settings::{InterfaceKind, Settings};
@@ -17,31 +18,31 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// Daemons of a failure domain that follow the store for the others. Each reads
-/// every version whole, which on a link of 5 Mbit/s delays its requests by a third
-/// of a second; with four of them instead of two the median way to the narrow ones
-/// took 284 ms under five changes in two seconds, and 10 ms to the others.
-const FOLLOWERS: usize = 2;
-/// Daemons of a failure domain that keep an entry in the store. Any one of them, of any
-/// domain, is enough to find the mesh.
-const ENTRIES: usize = 2;
-/// Daemons of a failure domain up to which all of them follow the store: so few
-/// cost it little, and rely on nobody.
-const ALL_FOLLOW: usize = 4;
-
-/// Daemons of a failure domain for each that keeps limits.
+/// Daemons of a failure domain that follow the store for the others. A follower reads every
+/// version whole, which delays its requests by a third of a second on a link of 5 Mbit/s.
+/// With four followers instead of two, the median time to reach hosts with narrow links was
+/// 284 ms under five changes in two seconds, and 10 ms for the other hosts.
+const FOLLOWERS_PER_DOMAIN: usize = 2;
+/// Daemons of a failure domain that keep an entry in the store. One entry, of any domain, is
+/// enough for a starting daemon to find the mesh.
+const ENTRIES_PER_DOMAIN: usize = 2;
+/// Largest failure domain, in daemons, in which all of them follow the store: so few add
+/// little load to the store, and none depends on a follower.
+const ALL_FOLLOW_MAX: usize = 4;
+
+/// Daemons of a failure domain per keeper of limits.
 const MEMBERS_PER_KEEPER: usize = 32;
 
-/// Other daemons up to which urgent news go to all of them at once: a few kilobytes, and
-/// nobody has to pass them on.
-const FEW: usize = 16;
+/// Largest number of other daemons to which an urgent update is sent directly: this takes a
+/// few kilobytes, and no daemon has to forward the update.
+const URGENT_DIRECT_MAX: usize = 16;
 
-/// Returns the two followers that a member hears heartbeats of; the first is the one
-/// that it asks for changes.
+/// Returns the two followers that send heartbeats to a member. The member fetches changes
+/// from the first.
 pub fn followers_of(followers: &[HostKey], member: HostKey) -> [Option<HostKey>; 2] {
     let at = |offset: u64| {
-        let place = member.0.wrapping_add(offset) % followers.len().max(1) as u64;
-        followers.get(place as usize).copied()
+        let index = member.0.wrapping_add(offset) % followers.len().max(1) as u64;
+        followers.get(index as usize).copied()
     };
     [at(0), at(1)]
 }
@@ -50,24 +51,24 @@
     table: Table,
     queue: Queue<HostKey, Record>,
     detector: Detector,
-    /// Every service that was ever announced, as far as this life has heard. A
-    /// service without an upstream at the moment still exists.
+    /// Every service whose announcement has reached this run of the daemon. A service that
+    /// has no upstream at the moment still exists.
     catalog: BTreeSet<String>,
 }
 
-/// Membership's state of one daemon.
+/// Membership state of one daemon.
 pub struct Members {
     inner: Mutex<Inner>,
     me: HostKey,
     domain: String,
-    /// Whether all daemons of the mesh probe and tell each other, not only those
-    /// of one failure domain.
-    flat: bool,
+    /// Whether probes and gossip go to all daemons of the mesh, not only to those of the own
+    /// failure domain.
+    is_mesh_wide: bool,
     live: AtomicUsize,
 }
 
 impl Members {
-    /// Makes the state of a daemon that knows only itself.
+    /// Creates the state with only this daemon's own record.
     pub fn new(
         settings: &Settings,
         me: HostKey,
@@ -96,69 +97,70 @@
             catalog: BTreeSet::new(),
         };
         let domain = settings.failure_domain.clone();
-        let flat = settings.interface == InterfaceKind::Platform;
-        Members { inner: Mutex::new(inner), me, domain, flat, live: AtomicUsize::new(1) }
+        let is_mesh_wide = settings.interface == InterfaceKind::Platform;
+        Members { inner: Mutex::new(inner), me, domain, is_mesh_wide, live: AtomicUsize::new(1) }
     }
 
-    /// Returns how many daemons of the mesh are believed to run, this one
-    /// included.
+    /// Returns the number of live daemons in the mesh, this one included.
     pub fn live_count(&self) -> usize {
         self.live.load(Ordering::Relaxed)
     }
 
-    /// The failure domain within which members probe and tell each other.
+    /// Returns the failure domain that probes are limited to, or `None` for the whole mesh.
     fn scope(&self) -> Option<&str> {
-        if self.flat { None } else { Some(&self.domain) }
+        if self.is_mesh_wide { None } else { Some(&self.domain) }
     }
 
-    /// Takes records in and spreads those that are new; returns whether any was.
+    /// Applies received records and queues those that are new for gossip; returns whether
+    /// any record changed the table.
     pub fn apply(&self, d: &Daemon, records: Vec<Record>) -> bool {
-        self.take_in(d, records, true)
+        self.apply_records(d, records, true)
     }
 
-    /// Takes the answer to a comparison in.
+    /// Applies the records of an answer to a table comparison.
     ///
-    /// Failure: a daemon that starts gets the whole table, all of it new to it, and
-    /// spreads it. Symptom: each start sends some 295 records 18 times, and real news
-    /// wait behind them. One that is told more than it knew before is the one that was
-    /// behind; what it was told is no news to others.
+    /// Failure: a daemon that starts receives the whole table, every record of it new to this
+    /// daemon, and gossips it. Symptom: each start sends some 295 records 18 times, and real
+    /// changes wait behind them in the queue. If an answer has more records than the own
+    /// table, this daemon was behind, and the others already have these records: they are
+    /// applied without gossip.
     pub fn apply_sync_answer(&self, d: &Daemon, records: Vec<Record>) -> bool {
         let is_behind = records.len() > lock(&self.inner).table.len();
-        self.take_in(d, records, !is_behind)
+        self.apply_records(d, records, !is_behind)
     }
 
-    fn take_in(&self, d: &Daemon, records: Vec<Record>, spread: bool) -> bool {
+    fn apply_records(&self, d: &Daemon, records: Vec<Record>, spread: bool) -> bool {
         let now = d.clock.now();
         let mut changed = false;
         {
             let mut inner = lock(&self.inner);
             for record in records {
-                changed |= inner.take(record, spread, now);
+                changed |= inner.apply_record(record, spread, now);
             }
         }
         if changed {
-            self.changed(d);
+            self.on_table_change(d);
         }
         changed
     }
 
-    fn told_rollouts(&self) -> Vec<Stage> {
+    fn announced_rollouts(&self) -> Vec<Stage> {
         let inner = lock(&self.inner);
         inner.table.iter().flat_map(|record| &record.rollouts).cloned().collect()
     }
 
-    /// Passes a changed table on to what is derived from it.
-    fn changed(&self, d: &Daemon) {
+    /// Updates the state that is derived from the table after a change.
+    fn on_table_change(&self, d: &Daemon) {
         let live = lock(&self.inner).table.iter().filter(|record| record.is_live()).count();
         self.live.store(live, Ordering::Relaxed);
-        let told: Vec<Stage> = self.told_rollouts();
-        told.iter().for_each(|stage| {
+        let rollouts: Vec<Stage> = self.announced_rollouts();
+        rollouts.iter().for_each(|stage| {
             d.rollouts.learn(stage, d.clock.now());
         });
         d.services.sync(d);
     }
 
-    /// Changes this daemon's own record and spreads it.
+    /// Changes this daemon's own record and queues it for gossip.
     pub fn update_own(&self, d: &Daemon, change: impl FnOnce(&mut Record)) {
         {
             let mut inner = lock(&self.inner);
@@ -167,22 +169,23 @@
             inner.catalog.extend(services);
             inner.queue.push(record.host, record);
         }
-        self.changed(d);
+        self.on_table_change(d);
     }
 
-    /// Announces the upstreams of this host.
+    /// Announces the upstreams on this host to the mesh, if they changed.
     pub fn set_endpoints(&self, d: &Daemon, endpoints: Vec<Endpoint>) {
         if self.own().endpoints != endpoints {
             self.update_own(d, |own| own.endpoints = endpoints);
         }
     }
 
-    /// Announces that this daemon stops.
+    /// Announces a planned stop of this daemon to the mesh.
     pub fn announce_leaving(&self, d: &Daemon) {
         self.update_own(d, |own| own.health = Health::Leaving);
     }
 
-    /// Records a belief about another daemon and spreads it.
+    /// Sets the health of another daemon and queues its record for gossip, unless the table
+    /// already holds this health or a later one in the order of [`Health`].
     pub fn set_member_health(&self, d: &Daemon, host: HostKey, health: Health) {
         let changed = {
             let mut inner = lock(&self.inner);
@@ -190,16 +193,17 @@
             record.map(|record| inner.queue.push(record.host, record)).is_some()
         };
         if changed {
-            self.changed(d);
+            self.on_table_change(d);
         }
     }
 
-    /// Notes that a member answered.
+    /// Records that a member answered a probe.
     pub fn answered(&self, host: HostKey) {
         lock(&self.inner).detector.answered(host);
     }
 
-    /// Returns the probes that are due.
+    /// Advances the failure detector to `now`, drops expired tombstones, and returns the
+    /// actions that are due.
     pub fn tick(&self, now: Instant, random: u64) -> Vec<Action> {
         let mut inner = lock(&self.inner);
         inner.table.sweep(now);
@@ -207,53 +211,53 @@
         inner.detector.tick(now, &others, random)
     }
 
-    /// Returns whom one round of gossip goes to.
+    /// Returns the receivers of one round of gossip.
     pub fn gossip_targets(&self) -> Vec<HostKey> {
         let inner = lock(&self.inner);
         let mut near = inner.table.live(Some(&self.domain));
         near.retain(|host| *host != self.me);
-        let mut audience = Candidates { near, ..Candidates::default() };
-        if self.flat {
+        let mut candidates = Candidates { near, ..Candidates::default() };
+        if self.is_mesh_wide {
             let others = inner.table.domains().into_iter().filter(|domain| *domain != self.domain);
-            audience.far = others.map(|domain| inner.widest(&domain)).collect();
-            audience.far.retain(|members| !members.is_empty());
-            audience.is_bridge =
-                inner.widest(&self.domain).iter().take(BRIDGES).any(|h| *h == self.me);
+            candidates.far = others.map(|domain| inner.alive_by_link(&domain)).collect();
+            candidates.far.retain(|members| !members.is_empty());
+            candidates.is_bridge =
+                inner.alive_by_link(&self.domain).iter().take(BRIDGES).any(|h| *h == self.me);
         }
         drop(inner);
-        audience.sample(|most| fastrand::usize(..most.max(1)))
+        candidates.sample(|most| fastrand::usize(..most.max(1)))
     }
 
-    /// Returns whom news go to that every daemon is to have within milliseconds: all
-    /// others where they are few, or else some of the own failure domain and one of each
-    /// other, who do the same.
+    /// Returns the receivers of an update that has to reach every daemon within milliseconds:
+    /// all other daemons if there are at most `URGENT_DIRECT_MAX`, else some of the own
+    /// failure domain and one of each other domain, which forward the update in the same way.
     pub fn urgent_targets(&self) -> Vec<HostKey> {
         let inner = lock(&self.inner);
-        let mut all = inner.others(self.me, None);
-        if all.len() <= FEW {
-            return all;
+        let mut targets = inner.others(self.me, None);
+        if targets.len() <= URGENT_DIRECT_MAX {
+            return targets;
         }
-        fastrand::shuffle(&mut all);
+        fastrand::shuffle(&mut targets);
         let domain_of = |host: &HostKey| inner.table.get(*host).map(|record| &record.domain);
-        let mut taken: BTreeMap<&String, usize> = BTreeMap::new();
-        let mut is_taken = |host: &HostKey| {
+        let mut per_domain: BTreeMap<&String, usize> = BTreeMap::new();
+        let mut is_target = |host: &HostKey| {
             let Some(domain) = domain_of(host) else { return false };
             let most = if *domain == self.domain { GOSSIP_FANOUT } else { 1 };
-            let count = taken.entry(domain).or_default();
+            let count = per_domain.entry(domain).or_default();
             *count += 1;
             *count <= most
         };
-        all.retain(&mut is_taken);
-        all
+        targets.retain(&mut is_target);
+        targets
     }
 
-    /// Returns the records for one round of gossip.
+    /// Takes the records for one round of gossip from the queue.
     pub fn take_round(&self) -> Vec<Record> {
         lock(&self.inner).queue.take_round(RECORDS_PER_DATAGRAM * DATAGRAMS_PER_ROUND)
     }
 
-    /// Returns whether there is nothing to tell.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns whether no record is queued for gossip.
+    pub fn is_queue_empty(&self) -> bool {
         lock(&self.inner).queue.is_empty()
     }
 
@@ -262,45 +266,47 @@
         lock(&self.inner).table.own().clone()
     }
 
-    /// Returns a host's name for people.
+    /// Returns the name of a host for logs, or its key in hexadecimal if it has no record.
     pub fn name_of(&self, host: HostKey) -> String {
         self.get(host).map_or_else(|| format!("{:016x}", host.0), |record| record.name)
     }
 
-    /// Returns a host's record.
+    /// Returns the record of a host.
     pub fn get(&self, host: HostKey) -> Option<Record> {
         lock(&self.inner).table.get(host).cloned()
     }
 
-    /// Returns the address of a host, as seen from this failure domain.
+    /// Returns the mesh address by which this daemon reaches a host: the near address in the
+    /// own failure domain, else the far one.
     pub fn address(&self, host: HostKey) -> Option<SocketAddr> {
         let inner = lock(&self.inner);
         let record = inner.table.get(host)?;
         Some(if record.domain == self.domain { record.near } else { record.far })
     }
 
-    /// Returns the hosts of another one's failure domain, that one included.
-    pub fn beside(&self, host: HostKey) -> Vec<HostKey> {
+    /// Returns all hosts in the failure domain of `host`, with `host` itself.
+    pub fn same_domain_hosts(&self, host: HostKey) -> Vec<HostKey> {
         let inner = lock(&self.inner);
         let domain = inner.table.get(host).map(|record| record.domain.as_str());
-        let beside = inner.table.iter().filter(|record| Some(record.domain.as_str()) == domain);
-        beside.map(|record| record.host).collect()
+        let same_domain =
+            inner.table.iter().filter(|record| Some(record.domain.as_str()) == domain);
+        same_domain.map(|record| record.host).collect()
     }
 
-    /// Returns whether a host is known to be in another failure domain.
-    pub fn is_far(&self, host: HostKey) -> bool {
+    /// Returns whether a host has a record that names another failure domain.
+    pub fn is_in_other_domain(&self, host: HostKey) -> bool {
         let inner = lock(&self.inner);
         inner.table.get(host).is_some_and(|record| record.domain != self.domain)
     }
 
-    /// Returns the host that has a mesh address.
-    pub fn at_address(&self, addr: SocketAddr) -> Option<HostKey> {
+    /// Returns the host whose near or far mesh address is `addr`.
+    pub fn host_at(&self, addr: SocketAddr) -> Option<HostKey> {
         let inner = lock(&self.inner);
         let found = inner.table.iter().find(|record| record.far == addr || record.near == addr);
         found.map(|record| record.host)
     }
 
-    /// Returns whether the daemon at a mesh address is believed to run.
+    /// Returns whether a live daemon has `addr` as its far mesh address.
     pub fn is_live_at(&self, addr: SocketAddr) -> bool {
         let inner = lock(&self.inner);
         inner.table.iter().any(|record| record.far == addr && record.is_live())
@@ -311,32 +317,33 @@
         lock(&self.inner).table.iter().cloned().collect()
     }
 
-    /// Returns the live members of the own failure domain but this one.
+    /// Returns the live members that this daemon probes: those of the own failure domain or,
+    /// with the interface of the users' platform, of the whole mesh; without this daemon.
     pub fn others(&self) -> Vec<HostKey> {
         lock(&self.inner).others(self.me, self.scope())
     }
 
-    /// Returns the members of the own failure domain that are to follow the store
-    /// for it, the same at each of them where their tables agree: those with the
-    /// widest links, since a narrow one carries a configuration for a third of a
-    /// second.
+    /// Returns the members of the own failure domain that are to follow the store for it.
+    ///
+    /// Members whose tables agree return the same list: the members with the widest links,
+    /// since a narrow link needs a third of a second to carry a configuration.
     pub fn followers(&self) -> Vec<HostKey> {
-        let mut fit = lock(&self.inner).widest(&self.domain);
-        if fit.len() > ALL_FOLLOW {
-            fit.truncate(FOLLOWERS);
+        let mut followers = lock(&self.inner).alive_by_link(&self.domain);
+        if followers.len() > ALL_FOLLOW_MAX {
+            followers.truncate(FOLLOWERS_PER_DOMAIN);
         }
-        fit
+        followers
     }
 
-    /// Returns whether this daemon keeps an entry in the store for its failure domain,
-    /// by which daemons that start find the others.
+    /// Returns whether this daemon is one of those that keep an entry in the store for their
+    /// failure domain. Starting daemons find the mesh by these entries.
     pub fn keeps_entry(&self) -> bool {
-        let widest = lock(&self.inner).widest(&self.domain);
-        widest.iter().take(ENTRIES).any(|host| *host == self.me)
+        let widest = lock(&self.inner).alive_by_link(&self.domain);
+        widest.iter().take(ENTRIES_PER_DOMAIN).any(|host| *host == self.me)
     }
 
-    /// Returns the members of the own failure domain that this follower sends its
-    /// heartbeats to: each hears two followers.
+    /// Returns the members of the own failure domain that `follower` sends heartbeats to:
+    /// each member receives those of two followers.
     pub fn heartbeat_targets(&self, followers: &[HostKey], follower: HostKey) -> Vec<HostKey> {
         let live = lock(&self.inner).table.live(Some(&self.domain));
         live.into_iter()
@@ -345,34 +352,34 @@
             .collect()
     }
 
-    /// Returns the daemons that are believed dead.
+    /// Returns the hosts whose daemon is marked as dead.
     pub fn dead_hosts(&self) -> Vec<HostKey> {
         let inner = lock(&self.inner);
         let dead = inner.table.iter().filter(|record| record.health == Health::Dead);
         dead.map(|record| record.host).collect()
     }
 
-    /// Returns how many daemons are believed dead.
+    /// Returns the number of daemons that are marked as dead.
     pub fn dead_count(&self) -> usize {
         let inner = lock(&self.inner);
         inner.table.iter().filter(|record| record.health == Health::Dead).count()
     }
 
-    /// Returns the daemons that keep limits for the others: one of each
-    /// [`MEMBERS_PER_KEEPER`] of a failure domain, so that the reports that one takes in
-    /// do not grow with the mesh; those with the widest links.
+    /// Returns the keepers of limits: in each failure domain, one for every
+    /// [`MEMBERS_PER_KEEPER`] members, those with the widest links. Their number grows with
+    /// the mesh, so that the number of usage reports per keeper does not.
     pub fn limit_keepers(&self) -> Vec<HostKey> {
         let inner = lock(&self.inner);
         let mut keepers = Vec::new();
         for domain in inner.table.domains() {
-            let mut widest = inner.widest(&domain);
+            let mut widest = inner.alive_by_link(&domain);
             widest.truncate(widest.len().div_ceil(MEMBERS_PER_KEEPER));
             keepers.extend(widest);
         }
         keepers
     }
 
-    /// Returns live daemons of other failure domains.
+    /// Returns the records of live daemons in other failure domains.
     pub fn live_in_other_domains(&self) -> Vec<Record> {
         let inner = lock(&self.inner);
         inner
@@ -383,22 +390,22 @@
             .collect()
     }
 
-    /// Returns each host with a number that tells the state of its record.
+    /// Returns each host with a fingerprint of its record.
     pub fn outline(&self) -> Vec<(HostKey, u64)> {
         lock(&self.inner).table.outline()
     }
 
-    /// Compares the table with the outline of another member's.
+    /// Compares the table with the outline of another member's table.
     pub fn compare(&self, outline: &[(HostKey, u64)]) -> Comparison {
         lock(&self.inner).table.compare(outline)
     }
 
-    /// Returns the records of some hosts, as far as they are known.
+    /// Returns the records of `hosts`, without those that the table lacks.
     pub fn records_of(&self, hosts: &[HostKey]) -> Vec<Record> {
         lock(&self.inner).table.records_of(hosts)
     }
 
-    /// Returns the records that changed after a position, and the new position.
+    /// Returns the records that changed after a journal position, and the new position.
     pub fn since(&self, pos: JournalPos) -> (Vec<Record>, JournalPos) {
         lock(&self.inner).table.since(pos)
     }
@@ -408,17 +415,17 @@
         lock(&self.inner).table.digest()
     }
 
-    /// Returns the services ever announced.
+    /// Returns the catalog: every service whose announcement has reached this daemon.
     pub fn catalog(&self) -> Vec<String> {
         lock(&self.inner).catalog.iter().cloned().collect()
     }
 
-    /// Adds services that others heard of.
+    /// Adds services from another daemon's catalog.
     pub fn add_catalog(&self, services: Vec<String>) {
         lock(&self.inner).catalog.extend(services);
     }
 
-    /// Returns the first of the services that nobody ever announced.
+    /// Returns the first of `services` that is not in the catalog.
     pub fn first_unknown<'a>(&self, services: &[&'a str]) -> Option<&'a str> {
         let inner = lock(&self.inner);
         services.iter().copied().find(|service| !inner.catalog.contains(*service))
@@ -426,8 +433,9 @@
 }
 
 impl Inner {
-    /// Takes a record in, and spreads it if it is to.
-    fn take(&mut self, record: Record, spread: bool, now: Instant) -> bool {
+    /// Applies a record, and queues it for gossip if `spread` is set; returns whether it
+    /// changed the table.
+    fn apply_record(&mut self, record: Record, spread: bool, now: Instant) -> bool {
         let (host, health) = (record.host, record.health);
         let services: Vec<_> = record.endpoints.iter().map(|e| e.service.clone()).collect();
         match (self.table.apply(record.clone(), now), spread) {
@@ -444,18 +452,20 @@
         true
     }
 
-    /// Returns the members of a failure domain that answer, those with the widest links
-    /// first.
-    fn widest(&self, domain: &str) -> Vec<HostKey> {
-        let fit = self
+    /// Returns the members of a failure domain that are marked as alive, those with the
+    /// widest links first.
+    fn alive_by_link(&self, domain: &str) -> Vec<HostKey> {
+        let alive = self
             .table
             .iter()
             .filter(|record| record.domain == domain && record.health == Health::Alive);
-        let mut fit: Vec<_> = fit.map(|record| (Reverse(record.link_kbps), record.host)).collect();
-        fit.sort_unstable();
-        fit.into_iter().map(|(_, host)| host).collect()
+        let mut alive: Vec<_> =
+            alive.map(|record| (Reverse(record.link_kbps), record.host)).collect();
+        alive.sort_unstable();
+        alive.into_iter().map(|(_, host)| host).collect()
     }
 
+    /// Returns the live members of a failure domain, or of the whole mesh, without `me`.
     fn others(&self, me: HostKey, scope: Option<&str>) -> Vec<HostKey> {
         self.table.live(scope).into_iter().filter(|host| *host != me).collect()
     }
--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -1,4 +1,4 @@
-//! The port for other daemons: control requests and forwarded calls.
+//! Serves the port for other daemons: control requests and forwarded calls.
 
 use super::request::tracked::Counted;
 use super::request::{exit, headers, paced};
@@ -13,7 +13,7 @@
 use http_body_util::BodyExt;
 use std::sync::Arc;
 
-/// Answers one request of another daemon.
+/// Answers one request from another daemon.
 pub async fn handle(d: Arc<Daemon>, req: Request<Body>) -> HttpResponse<Body> {
     let token = req.headers().get(rpc::TOKEN_HEADER).map(|value| value.as_bytes());
     if !token.is_some_and(|token| d.key.accepts_token(token)) {
@@ -23,10 +23,12 @@
     if let Some(value) = req.headers().get(call::CONTEXT) {
         return match Context::from_header(value.as_bytes()) {
             Ok(cx) => {
-                // Failure: a stop waits for calls, and not for their answers on a busy link.
-                // Symptom: the caller's connection breaks in the middle of an answer.
+                // The call counts as in flight until its answer has been sent. Failure: a
+                // stop waits for calls, but not for their answers on a busy link. Symptom:
+                // the caller's connection breaks in the middle of an answer.
                 let counted = Counted::new(&d);
-                let res = exit::handle(d.clone(), cx, forwarded(req), exit::Origin::Mesh).await;
+                let res =
+                    exit::handle(d.clone(), cx, without_hop_headers(req), exit::Origin::Mesh).await;
                 paced::by_link(&d, res).map(|body| body::tied(body, counted))
             }
             Err(err) => headers::plain(StatusCode::BAD_REQUEST, &format!("{err}\n")),
@@ -50,9 +52,9 @@
         }
         Ask::Activate { what, rest } => promotion::on_activate(d, what, rest).await,
         Ask::Fetch { hashes } => stage::on_fetch(d, &hashes),
-        Ask::Promise { version } => Response::Testimony(witness(d, Event::PromiseAsked(version))),
+        Ask::Promise { version } => Response::Testimony(testify(d, Event::PromiseAsked(version))),
         Ask::Floor { host, life } => {
-            Response::Testimony(witness(d, Event::FloorAsked { from: host, life }))
+            Response::Testimony(testify(d, Event::FloorAsked { from: host, life }))
         }
         Ask::Sync { outline, records } => {
             d.members.apply(d, records);
@@ -70,8 +72,8 @@
         Ask::Document { held } => Response::Document(d.versions.document.update_for(held)),
         Ask::Status => Response::Status(status::own(d).to_string()),
         Ask::Quotas => Response::Status(quotas::own(d).to_string()),
-        Ask::Suspicions(told) => {
-            quarantine::heard(d, &told);
+        Ask::Suspicions(suspicions) => {
+            quarantine::heard(d, &suspicions);
             Response::Suspicions(quarantine::all(d))
         }
         Ask::Rollout(report) => Response::Quotas(decider::on_report(d, report)),
@@ -82,18 +84,20 @@
     }
 }
 
-/// Gives a question for a witness to the node and returns what it says.
-fn witness(d: &Arc<Daemon>, event: Event) -> Option<Testimony> {
+/// Passes an event for the witness to the state machine of the configuration path, and returns
+/// the testimony that the witness gives, if any.
+fn testify(d: &Arc<Daemon>, event: Event) -> Option<Testimony> {
     let actions = d.versions.on(event);
-    let said = actions.iter().find_map(|action| match action {
+    let testimony = actions.iter().find_map(|action| match action {
         Action::Testify(testimony) => Some(testimony.clone()),
         _ => None,
     });
     stage::perform(d, actions, None);
-    said
+    testimony
 }
 
-fn forwarded(req: Request<Body>) -> Request<Body> {
+/// Removes the headers that are meant only for this connection.
+fn without_hop_headers(req: Request<Body>) -> Request<Body> {
     let (mut head, incoming) = req.into_parts();
     head.headers.remove(rpc::TOKEN_HEADER);
     headers::strip_hop_by_hop(&mut head.headers);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,16 +1,17 @@
-//! The daemon: edges around the decisions of `cicadashift-core`.
+//! The daemon: network, timers and storage around the decisions of `cicadashift-core`.
 //!
 //! State is kept in shards, each under its own lock: [`versions`] for the
-//! configuration path, [`members`] for membership, [`services`] for the choice
-//! of upstreams (itself sharded by service) and [`gates`] for admission. No lock
-//! is held across an await, and no two at once unless the order here is kept.
+//! configuration path, [`members`] for membership, [`services`] for load balancing
+//! over upstreams (itself sharded by service) and [`gates`] for admission control. No
+//! lock is held across an await. Two locks are held at once only in the order in which
+//! the modules are listed here.
 //!
-//! What goes to other daemons is in [`peers`] and [`datagrams`], what comes from them in
-//! [`mesh`] and [`gossip`].
+//! Messages to other daemons are sent by [`peers`] (control requests) and [`datagrams`]
+//! (UDP), and received by [`mesh`] and [`gossip`].
 //!
-//! The request path is in [`request`]. The configuration path is [`source`]
-//! where the configuration lies whole under one key of the store, and
-//! [`reader`], [`rollout`] and [`stage`] where it is made of objects.
+//! The request path is in [`request`]. The configuration path is [`source`] where the
+//! store holds the whole configuration under one key, and [`reader`], [`promotion`] and
+//! [`stage`] where the configuration is made of objects.
 
 pub mod callers;
 pub mod catch_up;
@@ -73,98 +74,99 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
 
-/// Connections kept to one other daemon, for calls and control together.
+/// Connections kept to one other daemon, for calls and control requests together.
 const MESH_CONNECTIONS: usize = 256;
-/// How long a connection between daemons may stay idle; longer than the other
-/// side keeps one, so that the side which sends closes it.
+/// Idle timeout of accepted connections from other daemons. It is longer than the timeout
+/// of the sending side, so that the sending side closes an idle connection.
 const MESH_IDLE: Duration = Duration::from_secs(10);
-/// Connections held at once by a port for a few askers.
-const SMALL_CONNECTIONS: usize = 32;
-/// Time for taking this daemon's entry out of the store at a planned stop.
-const ENTRY_TIME: Duration = Duration::from_millis(500);
-/// Time for the other daemons to hear that this one stops: some rounds of gossip, in
-/// its own failure domain and over the bridges to others.
-const TELL_TIME: Duration = Duration::from_millis(600);
-/// Time before the end of a stop in which answers still leave, so that what is given up
-/// then is heard.
+/// Concurrent connections on each of the readiness and metrics ports.
+const AUXILIARY_CONNECTIONS: usize = 32;
+/// Timeout for removing this daemon's entry from the store at a planned stop.
+const ENTRY_REMOVAL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time for the announcement of a stop to reach the other daemons: some rounds of gossip,
+/// in the own failure domain and over the bridges to others.
+const ANNOUNCE_TIME: Duration = Duration::from_millis(600);
+/// Time before the end of a stop that is reserved for sending answers, so that the callers
+/// of calls that are given up get an error response.
 const STOP_MARGIN: Duration = Duration::from_millis(200);
-/// Time that connections of other daemons and of upstreams have to end after a stop, and
-/// the part of it by which that may outlast the time of the stop.
-const LAST_WORDS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_millis(300));
-/// Step in which a stopping daemon looks whether calls are left.
-const STOP_STEP: Duration = Duration::from_millis(20);
+/// Longest wait at the end of a stop for connections of other daemons and of upstreams to
+/// close, and the time by which that wait may exceed the end of the stop.
+const CLOSE_WAIT: (Duration, Duration) = (Duration::from_secs(1), Duration::from_millis(300));
+/// Interval at which a stopping daemon checks for calls in flight.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Everything one daemon shares between its tasks.
+/// State that the tasks of one daemon share.
 pub struct Daemon {
-    /// Its settings, as they were at its start.
+    /// The settings as they were at the start.
     pub settings: Settings,
-    /// The part of its settings that may change while it runs.
+    /// The settings that may change while the daemon runs.
     pub tunable: tunable::Tunable,
-    /// Its key.
+    /// Key of this daemon's host.
     pub me: HostKey,
-    /// This life's number.
+    /// Number of this run of the daemon: its start in milliseconds since 1970.
     pub incarnation: Incarnation,
-    /// The clock.
+    /// Source of monotonic and wall-clock time.
     pub clock: Arc<dyn Clock>,
-    /// Proof of belonging to the mesh.
+    /// Key that authenticates the daemons of the mesh to each other.
     pub key: MeshKey,
-    /// The store.
+    /// Client of the store.
     pub store: Client,
-    /// Names of the headers that callers and upstreams use.
+    /// Names of the headers that callers and upstreams send and receive.
     pub dialect: Dialect,
-    /// The platform's way of speaking, where it is not the product's own.
+    /// Adapter to the protocol of the users' platform; `None` with the product's own
+    /// interface.
     pub platform_adapter: Option<PlatformAdapter>,
-    /// How long callers' connections may stay idle.
+    /// Idle timeout of callers' connections.
     pub caller_idle: Idle,
-    /// Whether the entries of other daemons were read at least once.
+    /// Whether the other daemons' entries in the store were read at least once.
     pub has_read_entries: AtomicBool,
-    /// The lease of this daemon's entry in the store, while it keeps one.
+    /// Lease of this daemon's entry in the store, while it has one.
     pub entry_lease: Mutex<Option<Lease>>,
-    /// Whether a configuration is being fetched from a member.
+    /// Whether a configuration is being fetched from another daemon.
     pub is_fetching_config: AtomicBool,
-    /// Whether this daemon follows the store and reaches it.
+    /// Whether this daemon watches the store and reaches it.
     pub follows_store: AtomicBool,
-    /// Connections to other daemons.
+    /// Pool of connections to other daemons.
     pub mesh_pool: Pool,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// The configuration path's state.
+    /// State of the configuration path.
     pub versions: versions::Versions,
-    /// Membership.
+    /// State of membership.
     pub members: members::Members,
-    /// Signs of life of other hosts.
+    /// When other hosts last gave signs of life.
     pub liveness: Mutex<Liveness>,
-    /// Callers that were sent away.
+    /// Callers that were refused and are expected to return.
     pub callers: callers::Callers,
-    /// Calls that end the upstreams which run them.
+    /// Quarantine of calls that end the upstreams which run them.
     pub quarantine: quarantine::Quarantine,
-    /// Limits that all daemons keep together.
+    /// Rate limits that all daemons enforce together.
     pub limits: limits::Limits,
-    /// What upstreams said of themselves in answers that passed here.
+    /// In-band signals of upstreams in the answers that this daemon received.
     pub in_band_signals: in_band::Remembered,
     /// Rollouts of new versions.
     pub rollouts: rollouts::Rollouts,
-    /// Upstreams as chosen from here.
+    /// Load balancing over the upstreams of each service.
     pub services: services::Services,
-    /// Upstreams on this host.
+    /// Admission control of the upstreams on this host.
     pub gates: gates::Gates,
-    /// The host's link, where the settings say what it carries.
+    /// Shaping of the host's link, where the settings name its capacity.
     pub link: Option<Mutex<Link>>,
     /// The delivery record.
     pub delivery_record: record::Record,
-    /// The reader's part.
+    /// State of the reader of this failure domain.
     pub reader: reader::State,
-    /// Exchange with other failure domains.
+    /// State of the exchange with other failure domains.
     pub gateway: gateway::State,
     /// Whether a planned stop has begun.
     pub leaving: AtomicBool,
-    /// When a planned stop ends, once it has begun.
+    /// End of a planned stop, once it has begun.
     stops_at: OnceLock<Instant>,
-    /// What it spends on being one of many.
+    /// Bytes exchanged with other daemons, by purpose.
     pub costs: costs::Costs,
-    /// Calls in progress, as entry or exit.
+    /// Calls in flight for which this daemon is entry or exit.
     pub calls_in_flight: AtomicU64,
-    /// Datagrams go out through this.
+    /// Socket for datagrams from and to other daemons.
     pub udp: Async<UdpSocket>,
 }
 
@@ -179,13 +181,13 @@
     pub mesh: SocketAddr,
 }
 
-/// Runs a daemon until `stop`, then stops it without cutting a call.
+/// Runs a daemon until `stop`, then stops it and lets the calls in flight finish.
 ///
-/// `changes` brings settings that were changed meanwhile and checked.
+/// `changes` delivers validated settings that were changed while the daemon runs.
 ///
 /// # Errors
 ///
-/// Returns what kept it from starting, such as a port in use.
+/// Returns why the daemon cannot start, such as a port in use.
 pub async fn run(
     settings: Settings,
     clock: Arc<dyn Clock>,
@@ -195,12 +197,19 @@
     let callers = listen("callers", settings.callers)?;
     let upstreams = listen("upstreams", settings.upstreams)?;
     let mesh = listen("mesh", settings.mesh)?;
-    let mesh_addr = mesh.get_ref().local_addr().wrap_err("mesh has no address")?;
+    let mesh_addr =
+        mesh.get_ref().local_addr().wrap_err("cannot read the address of the mesh port")?;
     let udp = Async::<UdpSocket>::bind(mesh_addr)
         .wrap_err_with(|| format!("cannot listen on UDP {mesh_addr}"))?;
     let ports = Ports {
-        callers: callers.get_ref().local_addr().wrap_err("callers has no address")?,
-        upstreams: upstreams.get_ref().local_addr().wrap_err("upstreams has no address")?,
+        callers: callers
+            .get_ref()
+            .local_addr()
+            .wrap_err("cannot read the address of the callers port")?,
+        upstreams: upstreams
+            .get_ref()
+            .local_addr()
+            .wrap_err("cannot read the address of the upstreams port")?,
         mesh: mesh_addr,
     };
     let d = Arc::new(Daemon::new(settings, clock, ports, udp)?);
@@ -216,7 +225,7 @@
     log::info!("stopping: announcing");
     let times = d.tunable.get();
     let until = d.clock.now() + times.leave + times.finish;
-    // Set once, by the one stop that there is.
+    // Fails only if already set, and a daemon stops once.
     let _first = d.stops_at.set(until);
     d.leave().await;
     drop(serving.calls_stop);
@@ -233,22 +242,23 @@
         task.cancel().await;
     }
     drop(serving.mesh_stop);
-    let last = until.saturating_duration_since(d.clock.now()) + LAST_WORDS.1;
-    let last = last.min(LAST_WORDS.0);
-    let _all_done = exec::timeout(last, async { (serving.mesh.await, serving.local.await) }).await;
-    drop(serving.told);
+    let close_wait = until.saturating_duration_since(d.clock.now()) + CLOSE_WAIT.1;
+    let close_wait = close_wait.min(CLOSE_WAIT.0);
+    let _all_done =
+        exec::timeout(close_wait, async { (serving.mesh.await, serving.local.await) }).await;
+    drop(serving.auxiliary);
     log::info!("stopped");
     Ok(())
 }
 
-/// The ports being served, and what stops that.
+/// Tasks that serve the ports, and the handles that stop them.
 struct Serving {
     calls_stop: Stop,
     calls: smol::Task<()>,
     mesh_stop: Stop,
     mesh: smol::Task<()>,
     local: smol::Task<()>,
-    told: [Option<smol::Task<()>>; 2],
+    auxiliary: [Option<smol::Task<()>>; 2],
 }
 
 fn serve(
@@ -266,8 +276,8 @@
         idle: d.caller_idle.clone(),
         may_overlap: None,
     };
-    let of_overlap = d.clone();
-    let may_overlap = move |target: &Target| request::entry::may_overlap(&of_overlap, target);
+    let overlap_daemon = d.clone();
+    let may_overlap = move |target: &Target| request::entry::may_overlap(&overlap_daemon, target);
     let caller_limits = Limits {
         connections: limits.caller_connections,
         may_overlap: Some(Arc::new(may_overlap)),
@@ -277,28 +287,34 @@
         Limits { connections: limits.mesh_connections, idle: Idle::new(MESH_IDLE), ..base.clone() };
     let (calls_stop, calls_stopped) = server::stop_pair();
     let (mesh_stop, mesh_stopped) = server::stop_pair();
-    let (x, y, z) = (d.clone(), d.clone(), d.clone());
+    let (for_calls, for_local, for_mesh) = (d.clone(), d.clone(), d.clone());
     let calls =
         exec::spawn(server::serve(callers, caller_limits, calls_stopped, move |peer, req| {
-            request::entry::handle(x.clone(), peer, req)
+            request::entry::handle(for_calls.clone(), peer, req)
         }));
     let local_limits = Limits { connections: limits.caller_connections, ..base.clone() };
     let local =
         exec::spawn(server::serve(upstreams, local_limits, mesh_stopped.clone(), move |_, req| {
-            upstreams::handle(y.clone(), req)
+            upstreams::handle(for_local.clone(), req)
         }));
     let mesh =
         exec::spawn(server::serve(mesh, mesh_limits, mesh_stopped.clone(), move |_, req| {
-            mesh::handle(z.clone(), req)
+            mesh::handle(for_mesh.clone(), req)
         }));
-    let told = [
-        serve_small(d, "ready", d.settings.ready, &mesh_stopped, readiness::handle)?,
-        serve_small(d, "metrics_text", d.settings.metrics_text, &mesh_stopped, readiness::metrics)?,
+    let auxiliary = [
+        serve_auxiliary(d, "ready", d.settings.ready, &mesh_stopped, readiness::handle)?,
+        serve_auxiliary(
+            d,
+            "metrics_text",
+            d.settings.metrics_text,
+            &mesh_stopped,
+            readiness::metrics,
+        )?,
     ];
-    Ok(Serving { calls_stop, calls, mesh_stop, mesh, local, told })
+    Ok(Serving { calls_stop, calls, mesh_stop, mesh, local, auxiliary })
 }
 
-/// Starts what runs beside the ports, by the interface of the settings.
+/// Starts the background tasks for the interface that the settings name.
 fn start_background(d: &Arc<Daemon>, changes: Receiver<Settings>) -> Vec<smol::Task<()>> {
     let mut background = vec![
         exec::spawn(gossip::run(d.clone())),
@@ -385,38 +401,44 @@
         })
     }
 
-    /// Returns the key under which the newest configuration lies.
+    /// Returns the key in the store that holds the newest configuration.
     pub fn config_key(&self) -> &'static str {
         self.platform_adapter.as_ref().map_or(keys::HEAD, |adapter| adapter.config_key())
     }
 
-    /// Returns the prefix of the keys that operators write.
+    /// Returns the prefix of the keys in the store that operators write.
     pub fn operator_prefix(&self) -> &'static str {
         self.platform_adapter.as_ref().map_or(keys::HEAD, |adapter| adapter.operator_prefix())
     }
 
-    /// Returns whether a key is that of an order to roll a version out.
+    /// Returns whether a key in the store holds an operator's order to roll a version out.
     pub fn is_rollout_order(&self, key: &str) -> bool {
-        self.platform_adapter.as_ref().is_some_and(|hosted| key.starts_with(hosted.order_prefix()))
+        self.platform_adapter
+            .as_ref()
+            .is_some_and(|adapter| key.starts_with(adapter.order_prefix()))
     }
 
-    /// Decodes a configuration in the platform's form.
+    /// Decodes a configuration in the format of the users' platform.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns [`Malformed`] if the document is invalid, or if the daemon uses the product's
+    /// own interface, whose configurations are made of objects.
     pub fn decode_document(&self, buf: &[u8]) -> Result<Document, Malformed> {
         match &self.platform_adapter {
             Some(adapter) => adapter.document(buf),
-            None => Err(Malformed::Syntax("configurations are not whole here".to_string())),
+            None => {
+                Err(Malformed::Syntax("this interface has no configuration documents".to_string()))
+            }
         }
     }
 
-    /// Returns until when a call that comes now may take.
+    /// Returns the deadline of a call that arrives now: its own, or `STOP_MARGIN` before
+    /// the end of a planned stop if that is earlier.
     ///
-    /// Failure: a call comes while the daemon stops, and its answer comes, or leaves by a
-    /// busy link, later than the daemon may live. Symptom: the connection ends without an
-    /// answer. The caller of a call that is given up in time is told so.
+    /// Failure: a call arrives while the daemon stops, and its answer arrives, or leaves over
+    /// a busy link, after the daemon has to end. Symptom: the connection closes without an
+    /// answer. A call that is given up before the end still gets an error response.
     pub fn latest_end(&self, deadline: Instant) -> Instant {
         let stops_at = self.stops_at.get().and_then(|at| at.checked_sub(STOP_MARGIN));
         stops_at.map_or(deadline, |at| at.min(deadline))
@@ -427,25 +449,25 @@
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Lets callers move away, then tells the others that this daemon stops, and gives
-    /// them time to hear it.
+    /// Gives callers time to move to other daemons, announces the stop to the other daemons,
+    /// and waits until the announcement has reached them.
     ///
-    /// Failure: a stop is told at once, while callers still have seconds to move. Symptom:
-    /// the upstream beside the daemon, which lives on, is out of use for all that time;
-    /// where daemons are stopped one a second, a quarter of the upstreams was. What other
-    /// daemons send goes on to be served until they are told.
+    /// Failure: a stop is announced at once, while callers still have seconds to move.
+    /// Symptom: the upstream on this host, which goes on running, is unused for all that
+    /// time; where daemons were stopped one a second, a quarter of the upstreams was unused.
+    /// Calls that other daemons forward are therefore served until the announcement.
     async fn leave(self: &Arc<Self>) {
         self.leaving.store(true, Ordering::Relaxed);
         let time = self.tunable.get().leave;
         let until = self.clock.now() + time;
-        smol::Timer::after(time.saturating_sub(TELL_TIME)).await;
+        smol::Timer::after(time.saturating_sub(ANNOUNCE_TIME)).await;
         self.members.announce_leaving(self);
         gossip::flush(self).await;
         match self.settings.interface {
             InterfaceKind::Own => gateway::exchange_with_all(self).await,
             InterfaceKind::Platform => {
-                // The store may be away; the entry then ends with its lease.
-                let _ended = exec::timeout(ENTRY_TIME, discovery::leave(self)).await;
+                // If the store cannot be reached, the entry expires with its lease.
+                let _ended = exec::timeout(ENTRY_REMOVAL_TIMEOUT, discovery::leave(self)).await;
             }
         }
         smol::Timer::after(until.saturating_duration_since(self.clock.now())).await;
@@ -453,13 +475,13 @@
 
     async fn wait_for_calls(&self, until: Instant) {
         while self.calls_in_flight.load(Ordering::Relaxed) > 0 && self.clock.now() < until {
-            smol::Timer::after(STOP_STEP).await;
+            smol::Timer::after(STOP_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Serves a port with few and short requests, if it is set.
-fn serve_small<F, Fut>(
+/// Serves the readiness or the metrics port, if the settings name its address.
+fn serve_auxiliary<F, Fut>(
     d: &Arc<Daemon>,
     name: &str,
     addr: Option<SocketAddr>,
@@ -473,13 +495,13 @@
     let Some(addr) = addr else { return Ok(None) };
     let listener = listen(name, addr)?;
     let d = d.clone();
-    let limits = Limits { connections: SMALL_CONNECTIONS, ..Limits::default() };
+    let limits = Limits { connections: AUXILIARY_CONNECTIONS, ..Limits::default() };
     let serving =
         server::serve(listener, limits, stopped.clone(), move |_, req| handler(d.clone(), req));
     Ok(Some(exec::spawn(serving)))
 }
 
-/// Names of headers in the product's own form.
+/// Returns the header names of the product's own interface.
 fn own_dialect() -> Dialect {
     Dialect {
         request_id: HeaderName::from_static(call::REQUEST_ID),
@@ -501,8 +523,8 @@
     Async::<TcpListener>::bind(addr).wrap_err_with(|| format!("cannot listen on {name} {addr}"))
 }
 
-/// Locks a mutex whose holder may have panicked: the state behind each lock is
-/// valid between any two statements, so going on is safe.
+/// Locks a mutex, also if it is poisoned: the state behind each lock is valid between any
+/// two statements, so that it may be used after a holder has panicked.
 pub fn lock<T>(mutex: &std::sync::Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -1,4 +1,4 @@
-//! Control requests to other daemons; [`super::mesh`] answers them.
+//! Sends control requests to other daemons; [`super::mesh`] answers them.
 
 use super::Daemon;
 use super::costs::Purpose;
@@ -11,21 +11,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes of an HTTP head around a control request, for the count.
-const ASK_HEAD: usize = 120;
-/// Bytes of an HTTP head around a control answer, for the count.
-const ANSWER_HEAD: usize = 80;
+/// Approximate bytes of the HTTP head of a control request, for the traffic counters.
+const REQUEST_HEAD_BYTES: usize = 120;
+/// Approximate bytes of the HTTP head of a control response, for the traffic counters.
+const RESPONSE_HEAD_BYTES: usize = 80;
 
-/// Why a control request has no answer.
+/// Error of a control request.
 #[derive(Debug)]
 pub enum MeshError {
-    /// It was not sent or not answered.
+    /// The request could not be sent, or no response came in time.
     Send(SendError),
-    /// The answer is not a message.
+    /// The response cannot be decoded.
     Wire(WireError),
-    /// The peer refused the request as not from this mesh, or could not take it.
+    /// The peer responded with an HTTP status other than 200, because of the mesh token or
+    /// because it could not read the request.
     Status(StatusCode),
-    /// The peer answered a different question.
+    /// The response is of another kind than the request calls for.
     Unexpected,
 }
 
@@ -34,19 +35,19 @@
         match self {
             MeshError::Send(err) => write!(f, "{err}"),
             MeshError::Wire(err) => write!(f, "{err}"),
-            MeshError::Status(status) => write!(f, "peer answered {status}"),
-            MeshError::Unexpected => write!(f, "peer answered a different question"),
+            MeshError::Status(status) => write!(f, "peer responded with status {status}"),
+            MeshError::Unexpected => write!(f, "peer sent a response of the wrong kind"),
         }
     }
 }
 
 impl std::error::Error for MeshError {}
 
-/// Asks another daemon.
+/// Sends a control request to another daemon and returns the response.
 ///
 /// # Errors
 ///
-/// Returns [`MeshError`] where no answer came in time.
+/// Returns [`MeshError`] if no valid response arrives within `time`.
 pub async fn ask(
     d: &Daemon,
     to: SocketAddr,
@@ -54,9 +55,11 @@
     time: Duration,
 ) -> Result<Response, MeshError> {
     let buf = rpc::encode(ask);
-    let (purpose, far) =
-        (purpose(ask), d.members.at_address(to).is_some_and(|host| d.members.is_far(host)));
-    d.costs.add(purpose, far, buf.len() + ASK_HEAD);
+    let (purpose, far) = (
+        purpose(ask),
+        d.members.host_at(to).is_some_and(|host| d.members.is_in_other_domain(host)),
+    );
+    d.costs.add(purpose, far, buf.len() + REQUEST_HEAD_BYTES);
     let req = Request::builder()
         .method("POST")
         .uri(rpc::PATH)
@@ -69,7 +72,7 @@
     if res.status() != StatusCode::OK {
         return Err(MeshError::Status(res.status()));
     }
-    d.costs.add(purpose, far, res.body().len() + ANSWER_HEAD);
+    d.costs.add(purpose, far, res.body().len() + RESPONSE_HEAD_BYTES);
     rpc::decode(res.body()).map_err(MeshError::Wire)
 }
 
