--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,5 +1,5 @@
-//! What must hold under failure, with real processes: kills, freezes, cuts, and
-//! a platform that is out, slow or loses answers.
+//! Tests of failures, with real processes: daemons that are killed, frozen or partitioned, and
+//! a store that is out, slow or loses answers.
 
 mod common;
 
@@ -14,9 +14,9 @@
 
 #[test]
 fn a_restart_during_an_outage_learns_its_floor_from_the_witnesses() {
-    // The platform goes out, and one daemon dies and comes back with nothing.
-    // Its callers get answers again: two of three witnesses remember which
-    // version ran, so the daemon runs that one and no older.
+    // The store is out, and one daemon is killed and restarts without any state. Two of three
+    // witnesses remember which version ran, so the daemon runs that version and none older,
+    // and its callers get answers again.
     run(async {
         let mut mesh = Mesh::serving(spec(&["a"], 3)).await;
         let (version, _) = mesh.roll_out(CHANGED).await;
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn without_platform_and_witnesses_a_fresh_daemon_refuses() {
-    // All witnesses die during an outage of the platform and come back empty.
-    // Nobody can say what they ran. Callers are told that nothing ran and when
-    // to come back, until the platform answers again.
+fn a_fresh_daemon_without_store_and_witnesses_refuses_calls() {
+    // All daemons are killed during an outage of the store and restart without any state, so
+    // that no witness remembers which version ran. Callers get a refusal as not run, with a
+    // time to retry, until the store answers again.
     run(async {
         let mut mesh = Mesh::serving(spec(&["a"], 3)).await;
         mesh.platform.fault(|faults| faults.outage = true);
@@ -49,7 +49,8 @@
         let refused = caller(&mesh, 0).call("GET", "/notices", "early", b"").await;
         let Got::NotRun { reason, retry_after } = refused.got else { panic!("{refused:?}") };
         assert_eq!(reason, "no-configuration");
-        // Spread, so that those who are refused in one moment come back in many.
+        // The time is spread, so that callers refused at the same moment do not all return
+        // at the same moment.
         let expected = Duration::from_millis(200)..=Duration::from_millis(600);
         assert!(expected.contains(&retry_after), "{retry_after:?}");
         assert_eq!(mesh.ledger.count("early"), 0);
@@ -61,20 +62,20 @@
 }
 
 #[test]
-fn a_frozen_reader_does_no_harm() {
-    // The reader is frozen past its lease while a version is accepted. Another
-    // daemon reads, and the version comes into force on the others. When the
-    // frozen one goes on, it catches up; nobody goes back.
+fn a_frozen_reader_neither_blocks_nor_rolls_back_a_version() {
+    // The reader is frozen past its lease while a version is accepted. Another daemon becomes
+    // reader, and the version comes into force on the other daemons. When the frozen daemon
+    // resumes, it catches up, and no daemon goes back to the older version.
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 4)).await;
         let mut reader = None;
         for i in mesh.all() {
-            let status = mesh.fleet.status(i).await.expect("all answer");
+            let status = mesh.fleet.status(i).await.expect("every daemon answers its operators");
             if status["reader"] == true {
                 reader = Some(i);
             }
         }
-        let reader = reader.expect("somebody reads");
+        let reader = reader.expect("one daemon is the reader");
         mesh.fleet.freeze(reader, true);
         let version = mesh.accept(CHANGED).await.expect("accepted");
         let others: Vec<_> = mesh.all().into_iter().filter(|i| *i != reader).collect();
@@ -86,9 +87,9 @@
 }
 
 #[test]
-fn a_lost_answer_applies_once() {
-    // The write of a new head takes effect and its answer is lost. The operator
-    // is told the version that it made, and no second one is made.
+fn a_write_with_a_lost_answer_applies_once() {
+    // The write of a new head takes effect, but its answer is lost. The operator gets the
+    // version that the write created, and no second version is created.
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
         let before = mesh.accept(NOTICES).await.expect("accepted");
@@ -101,10 +102,10 @@
 }
 
 #[test]
-fn racing_operators_are_ordered_and_the_loser_is_told() {
-    // Two operators change different things at once: both take effect, as two
-    // versions. Two withdraw the same configuration: one is told that it is
-    // gone, and the order has one version for it.
+fn concurrent_operators_are_ordered_and_a_conflict_is_reported() {
+    // Two operators change different labels at once: both changes take effect, as two
+    // consecutive versions. Two operators withdraw the same configuration at once: one
+    // succeeds, and the other gets an error.
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
         let label = |host: &str| Operation::SetLabels {
@@ -115,17 +116,17 @@
         let (a, b) = smol::future::zip(mesh.commit(&one), mesh.commit(&other)).await;
         let (a, b) = (a.expect("first"), b.expect("second"));
         assert_eq!(a.abs_diff(b), 1);
-        let gone = Operation::Withdraw("notices".to_string());
-        let (a, b) = smol::future::zip(mesh.commit(&gone), mesh.commit(&gone)).await;
+        let withdraw = Operation::Withdraw("notices".to_string());
+        let (a, b) = smol::future::zip(mesh.commit(&withdraw), mesh.commit(&withdraw)).await;
         assert_eq!([&a, &b].iter().filter(|result| result.is_ok()).count(), 1, "{a:?} {b:?}");
     });
 }
 
 #[test]
-fn a_damaged_object_is_run_by_nobody() {
-    // The text of an accepted configuration is damaged in the platform before
-    // anybody reads it. No daemon runs any of that version, all keep the one
-    // before, and status says why. The next good version goes through.
+fn no_daemon_runs_a_version_with_a_damaged_object() {
+    // An object of an accepted configuration is damaged in the store before a daemon reads it.
+    // No daemon runs any part of that version, all keep the version before, and the reader's
+    // status shows why. The next valid version comes into force.
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 3)).await;
         let before = mesh.fleet.status(0).await.expect("it answers")["running"].as_u64();
@@ -140,14 +141,14 @@
         }
         mesh.platform.fault(|faults| faults.delay = Duration::ZERO);
         let key = version.to_string();
-        let told = |status: &serde_json::Value| !status["bad"][&key].is_null();
+        let is_reported = |status: &serde_json::Value| !status["bad"][&key].is_null();
         let mut reader = Vec::new();
         for i in mesh.all() {
             if mesh.fleet.status(i).await.expect("it answers")["reader"] == true {
                 reader.push(i);
             }
         }
-        assert!(mesh.fleet.wait_all(&reader, PATIENCE, told).await.is_some());
+        assert!(mesh.fleet.wait_all(&reader, PATIENCE, is_reported).await.is_some());
         for i in mesh.all() {
             assert_eq!(mesh.fleet.status(i).await.expect("it answers")["running"].as_u64(), before);
             assert!(is_answer(&caller(&mesh, i).call("GET", "/notices", "on", b"").await.got));
@@ -157,11 +158,10 @@
 }
 
 #[test]
-fn a_cut_off_domain_serves_what_it_can_and_catches_up() {
-    // The failure domains lose each other. Each serves with its own upstreams.
-    // One that also loses the platform stays at its version; when the cut ends
-    // it learns the new one from its neighbour, although the platform is still
-    // out for it.
+fn a_partitioned_domain_serves_and_follows_the_store_on_its_own() {
+    // The failure domains are partitioned from each other, and each serves calls with its own
+    // upstreams. A version accepted during the partition comes into force on every daemon,
+    // since the store stays reachable, and is still in force after it. No call runs twice.
     run(async {
         let mesh = Mesh::serving(spec(&["a", "b"], 2)).await;
         mesh.fleet.cut(true);
@@ -176,13 +176,12 @@
 }
 
 #[test]
-fn a_draining_upstream_gets_nothing_new() {
-    // An upstream says that it drains while calls come in. What it runs is
-    // finished; soon after, nothing new begins there and callers still get
-    // answers from the others.
+fn a_draining_upstream_gets_no_new_calls() {
+    // An upstream reports that it drains. Once all daemons know this, no new call starts on
+    // it, and callers still get answers from the other upstreams.
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 3)).await;
-        mesh.upstreams[0].drain().await.expect("the daemon is told");
+        mesh.upstreams[0].drain().await.expect("the daemon takes the report");
         let elsewhere = |status: &serde_json::Value| status["services"]["notice"] == 2;
         assert!(mesh.fleet.wait_all(&mesh.all(), PATIENCE, elsewhere).await.is_some());
         let before = mesh.upstreams[0].executions();
@@ -195,15 +194,15 @@
 }
 
 #[test]
-fn an_unknown_outcome_is_said_and_not_repeated() {
-    // The exit daemon dies while an upstream runs a call. A call that may not
-    // be repeated is answered as unknown and ran once; one that may is answered
-    // by another upstream.
+fn an_unknown_outcome_is_reported_and_not_retried() {
+    // Exit daemons are killed while their upstreams run calls. A call that must not be
+    // repeated runs once, and its caller gets the answer or an unknown outcome; an idempotent
+    // call is answered by another upstream.
     run(async {
         let mut mesh = Mesh::serving(spec(&["a"], 3)).await;
         mesh.upstreams.iter().for_each(|u| u.change(|b| b.work = Duration::from_millis(700)));
         let entry = caller(&mesh, 0);
-        let posts: Vec<_> = (0..9)
+        let calls: Vec<_> = (0..9)
             .map(|n| {
                 let caller = caller(&mesh, 0);
                 cicadashift_http::exec::spawn(async move {
@@ -217,10 +216,11 @@
         }
         mesh.fleet.kill(1);
         mesh.fleet.kill(2);
-        for task in posts {
+        for task in calls {
             let (method, call) = task.await;
-            let fits = is_answer(&call.got) || (method == "POST" && call.got == Got::Unknown);
-            assert!(fits, "{method} {call:?}");
+            let is_expected =
+                is_answer(&call.got) || (method == "POST" && call.got == Got::Unknown);
+            assert!(is_expected, "{method} {call:?}");
         }
         for n in (0..9).filter(|n| n % 3 != 0) {
             assert_eq!(mesh.ledger.count(&format!("p-{n}")), 1);
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -1,6 +1,6 @@
-//! The users' platform, with real processes: the whole path, changes, drains,
-//! stops, and what fails. The store and the instances are stand-ins that speak
-//! the published protocol.
+//! Tests of the interface to the users' platform, with real processes: requests from caller to
+//! instance, configuration changes, drains, stops and failures. The store and the instances
+//! are test doubles that implement the published protocol.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Time in which an accepted change must be in force.
+/// Longest time from the acceptance of a change until it is in force.
 const IN_FORCE: Duration = Duration::from_secs(2);
 
 fn program() -> &'static Path {
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn a_request_gets_its_own_whole_answer_from_any_host() {
-    // Callers at three daemons each get the answer to their own request, from
-    // instances on all hosts. The instance sees the caller's service as the
-    // daemon set it, not as the caller claimed, and less time than the caller has.
+fn a_request_gets_its_own_complete_answer_from_any_host() {
+    // Callers at three daemons each get the answer to their own request, from instances on any
+    // host. The instance sees the caller's service as the daemon set it, not as the caller
+    // claimed, and a deadline no longer than that of the caller.
     run(async {
         let fleet = serving(3).await;
         fleet.put_config(2, &["/lift/"]);
@@ -57,9 +57,9 @@
 
 #[test]
 fn a_change_is_in_force_everywhere_in_time_and_never_goes_back() {
-    // A route is dropped and another added. Within two seconds each daemon
-    // serves the new one and says 404 for the old. An older version that is
-    // written afterwards changes nothing.
+    // One route is removed and another added. Within two seconds each daemon serves the new
+    // route and answers 404 for the old one. An older version that is written afterwards
+    // changes nothing.
     run(async {
         let fleet = serving(3).await;
         assert_eq!(fleet.status(0, "/new/1", "early").await, Some(404));
@@ -78,17 +78,17 @@
 }
 
 #[test]
-fn a_change_reaches_hosts_that_leave_the_store_to_others() {
-    // Eight hosts, six of them in one failure domain, where only two follow the
-    // store. Versions follow each other; each is in force in time on all, and
-    // those that do not follow take the difference from one that does. One follower
-    // dies, and who asked it turns to the other. Then all followers of both domains
-    // die, and a change is accepted in the same moment: the others notice within about
-    // a second, ask the store themselves, and have it in time as well.
+fn a_change_reaches_hosts_that_do_not_follow_the_store() {
+    // Eight hosts, six of them in one failure domain, where only two follow the store. Each of
+    // several successive versions is in force in time on all hosts; those that do not follow
+    // the store fetch the delta from a follower. When one follower is killed, its members turn
+    // to the other. Then all followers of both domains are killed at the moment in which a
+    // change is accepted: the other daemons notice within about a second, read the store
+    // themselves, and have the change in force in time as well.
     run(async {
         let mut fleet = serving(8).await;
-        let two = async |fleet: &HostedFleet| fleet.followers().await.len() == 4;
-        assert!(fleet.wait(two).await, "{:?}", fleet.followers().await);
+        let two_per_domain = async |fleet: &HostedFleet| fleet.followers().await.len() == 4;
+        assert!(fleet.wait(two_per_domain).await, "{:?}", fleet.followers().await);
         for version in 2..5 {
             let path = format!("/new-{version}/");
             fleet.put_config(version, &["/notices/", &path]);
@@ -104,7 +104,7 @@
             fleet.put_config(version, &["/notices/", &path]);
             in_force(&fleet, &others, &path).await;
         }
-        assert!(fleet.wait(two).await, "{:?}", fleet.followers().await);
+        assert!(fleet.wait(two_per_domain).await, "{:?}", fleet.followers().await);
         let followers = fleet.followers().await;
         for i in &followers {
             fleet.kill(*i);
@@ -115,8 +115,8 @@
     });
 }
 
-/// Waits until a route that was just accepted is served by daemons, and checks that
-/// it was in time.
+/// Waits until `daemons` serve a route that was just accepted, and checks that each does so in
+/// time.
 async fn in_force(fleet: &HostedFleet, daemons: &[usize], path: &str) {
     let accepted = Instant::now();
     for i in daemons {
@@ -128,10 +128,10 @@
 }
 
 #[test]
-fn a_bad_configuration_changes_nothing_and_the_log_says_why() {
-    // The store hands out configurations that are cut short, route to a service
-    // that is not listed, have a prefix without its slash, or no timeout. The
-    // last good one stays in force whole, and the next good one is taken.
+fn an_invalid_configuration_changes_nothing_and_is_logged() {
+    // The store delivers configurations that are truncated, route to a service that is not
+    // listed, have no timeout, or have a prefix without its slash. Each is rejected with a log
+    // line, the last valid configuration stays in force, and the next valid one is accepted.
     run(async {
         let fleet = serving(2).await;
         let mut unknown = config(9, &["/notices/"]);
@@ -144,10 +144,10 @@
         for text in [cut, unknown.to_string(), untimed.to_string(), bare] {
             let before = fleet.log(0).matches("does not come into force").count();
             fleet.store.put(CONFIG_KEY, text.as_bytes());
-            let told = async |fleet: &HostedFleet| {
+            let is_rejected = async |fleet: &HostedFleet| {
                 fleet.log(0).matches("does not come into force").count() > before
             };
-            assert!(fleet.wait(told).await, "{text}: {}", fleet.log(0));
+            assert!(fleet.wait(is_rejected).await, "{text}: {}", fleet.log(0));
             assert_eq!(fleet.status(0, "/notices/1", "kept").await, Some(200));
         }
         fleet.put_config(10, &["/good/"]);
@@ -157,10 +157,10 @@
 }
 
 #[test]
-fn an_instance_that_leaves_gets_nothing_after_its_acknowledgement() {
-    // One instance reports that it drains, another says that it is gone and goes
-    // on serving. Callers at all daemons are served by the third, and nothing
-    // that is sent after an acknowledgement reaches the two.
+fn an_instance_that_leaves_gets_no_requests_after_the_acknowledgement() {
+    // One instance reports that it drains, another deregisters but goes on serving. Callers at
+    // all daemons are served by the third, and no request that is sent after the
+    // acknowledgements reaches the other two.
     run(async {
         let fleet = serving(3).await;
         assert!(fleet.nodes[0].instance.drain().await);
@@ -171,7 +171,7 @@
             assert_eq!(status, Some(200));
         }
         assert_eq!([0, 1].map(|i| fleet.nodes[i].instance.seen().len()), seen);
-        // A report from before the drain that arrives late brings nothing back.
+        // A delayed report from before the drain does not bring an instance back.
         assert!(fleet.nodes[0].instance.beat_as("i-0", 0, false).await);
         assert!(fleet.nodes[1].instance.beat_as("i-1", 99, false).await);
         for n in 0..20 {
@@ -182,10 +182,10 @@
 }
 
 #[test]
-fn a_planned_stop_cuts_no_request() {
-    // Requests of 300 ms run at all daemons when one is told to stop. It says at
-    // once that it takes no work, ends with code 0, and every request that it had
-    // read is answered whole.
+fn a_planned_stop_interrupts_no_request() {
+    // One daemon is stopped by SIGTERM while requests of 300 ms arrive at it and at another.
+    // It reports at once that it is not ready, exits with code 0, and answers every request
+    // that it has read.
     run(async {
         let mut fleet = serving(3).await;
         for node in &fleet.nodes {
@@ -200,7 +200,7 @@
                 assert!(!fleet.is_ready(0).await);
             }
         }
-        // The stopping one serves until its peers and callers have moved.
+        // The stopping daemon serves until its peers and callers have moved.
         let cut = statuses.iter().step_by(2).filter(|status| status.is_none()).count();
         let first_refused = statuses.iter().step_by(2).position(|status| status.is_none());
         assert!(statuses.iter().skip(1).step_by(2).all(|status| *status == Some(200)));
@@ -214,10 +214,10 @@
 }
 
 #[test]
-fn settings_are_read_again_and_bad_ones_are_not_taken() {
-    // SIGHUP after a change takes it in; a file that is not good leaves the old
-    // settings in force and the log says why; a change without a signal is
-    // noticed. Requests go on meanwhile.
+fn settings_are_reloaded_and_invalid_ones_rejected() {
+    // SIGHUP reloads the settings file. An invalid file leaves the old settings in force, and
+    // the log names the reason. A change of the file is also detected without a signal.
+    // Requests are still served afterwards.
     run(async {
         let fleet = serving(2).await;
         let logged = async |text: &str| {
@@ -237,10 +237,9 @@
 }
 
 #[test]
-fn a_restart_without_the_store_takes_the_configuration_of_a_member() {
-    // The store falls silent and a daemon is killed and restarted. It answers 503
-    // with a time to come back, never 404, until a member finds it; then it
-    // serves what that member runs.
+fn a_restart_without_the_store_takes_the_configuration_from_a_member() {
+    // The store stops answering, and a daemon is killed and restarted. It answers 503, never
+    // 404, until a member contacts it; then it serves the configuration of that member.
     run(async {
         let mut fleet = serving(3).await;
         fleet.put_config(5, &["/newer/"]);
@@ -265,10 +264,10 @@
 }
 
 #[test]
-fn a_daemon_that_knows_nothing_refuses_as_not_run() {
-    // All daemons start while the store is silent. Callers get 503 with a short
-    // time to come back, never 404, and the daemons are not ready. When the store
-    // is back they serve within two seconds.
+fn a_daemon_without_a_configuration_refuses_requests_as_not_run() {
+    // All daemons start while the store does not answer. Callers get 503 with a short
+    // Retry-After, never 404, and the daemons are not ready. When the store answers again,
+    // they serve requests: the target is two seconds, and the test allows four.
     run(async {
         let fleet = HostedFleet::start(program(), 2);
         fleet.store.fault(|faults| faults.down = Some(Down::Silent));
@@ -289,10 +288,11 @@
 }
 
 #[test]
-fn an_outage_of_any_kind_changes_nothing_for_callers() {
-    // The store is busy, over its rate, then loses answers; leases lapse, keys are
-    // taken away and history is dropped. Requests are served throughout, a change
-    // made right after is in force in time, and entries come back.
+fn no_outage_of_the_store_affects_callers() {
+    // The store answers that it is busy, that calls are over its rate, or not at all; then its
+    // history is dropped, leases expire and an answer is lost. Requests are served during each
+    // outage, and a change right after it is in force within four seconds. Entries of daemons
+    // that the store revokes are written again.
     run(async {
         let fleet = serving(2).await;
         for (version, down) in [(20, Down::Busy), (21, Down::TooMany), (22, Down::Silent)] {
@@ -327,9 +327,9 @@
 }
 
 #[test]
-fn one_machine_that_the_store_turns_away_follows_through_its_peers() {
-    // The way from one daemon to the store is cut while a version is accepted.
-    // Its callers get the new route as well, since members tell it.
+fn a_host_cut_off_from_the_store_gets_changes_from_members() {
+    // The link from one daemon to the store is cut while a version is accepted. Its callers
+    // get the new route as well, since the daemon fetches the version from a member.
     run(async {
         let fleet = serving(3).await;
         fleet.nodes[2].store_link.cut(true);
@@ -341,10 +341,10 @@
 }
 
 #[test]
-fn an_answer_to_another_request_reaches_nobody() {
-    // Every instance answers with another request's id. A request that may not be
-    // repeated is answered as unknown and ran once; its caller never sees the
-    // foreign answer.
+fn an_answer_to_another_request_reaches_no_caller() {
+    // Every instance answers with the id of another request. A request that must not be
+    // repeated runs once, and its caller gets 502 for the unknown outcome, never the answer to
+    // the other request.
     run(async {
         let fleet = serving(2).await;
         fleet.put_config(40, &["/lift/"]);
@@ -364,10 +364,10 @@
 }
 
 #[test]
-fn what_an_instance_refuses_is_tried_elsewhere_and_what_it_fails_is_told() {
-    // One of two instances sheds everything: requests of both kinds are served by
-    // the other and ran once. Then both fail: the caller gets an instance's own
-    // 500 with its stamp.
+fn a_shed_request_is_retried_elsewhere_and_a_failure_is_passed_on() {
+    // One of two instances sheds all requests: idempotent and other requests are served by the
+    // other instance, and each runs once. Then both instances fail: the caller gets the 500
+    // response of an instance, with the instance's stamp.
     run(async {
         let fleet = serving(2).await;
         fleet.put_config(50, &["/notices/", "/lift/"]);
@@ -391,9 +391,10 @@
 }
 
 #[test]
-fn a_lost_answer_is_asked_for_elsewhere_before_the_deadline() {
-    // One instance runs requests and never answers. A lookup is answered by the
-    // other well before its deadline, once the first is late for its kind.
+fn an_unanswered_lookup_is_hedged_before_its_deadline() {
+    // One instance runs requests and never answers. Once its answer to a lookup is late for
+    // this kind of request, a second attempt gets the answer from the other instance, well
+    // before the deadline.
     run(async {
         let fleet = serving(2).await;
         for n in 0..60 {
@@ -410,11 +411,11 @@
 }
 
 #[test]
-fn requests_of_one_connection_run_beside_each_other_if_they_may_run_twice() {
-    // A caller sends two lookups and a notice to be lifted on one connection, and
-    // nothing is answered. The second lookup reaches an instance while the first is at
-    // work there; the lift does not, since the answers before it might still close the
-    // connection, and its caller would then send it again.
+fn pipelined_requests_run_concurrently_if_they_are_idempotent() {
+    // A caller pipelines two lookups and a POST that must not be repeated on one connection,
+    // and none is answered yet. The second lookup reaches an instance while the first still
+    // runs there. The POST does not: an earlier answer might still close the connection, and
+    // its caller would then send it again.
     run(async {
         let fleet = serving(1).await;
         fleet.put_config(2, &["/notices/", "/lift/"]);
@@ -439,21 +440,21 @@
 }
 
 #[test]
-fn an_instance_stops_working_for_a_caller_that_left() {
-    // A caller at one host asks for something that takes two seconds on another host,
-    // and closes its connection after 300 ms. The close passes both daemons, and the
-    // instance ends its work within half a second instead of holding a slot.
+fn a_request_is_abandoned_when_its_caller_disconnects() {
+    // A caller at one host sends a request that takes two seconds on another host, and closes
+    // its connection after 300 ms. Both daemons pass the close on, and the instance ends its
+    // work within half a second instead of holding a slot.
     run(async {
         let fleet = serving(2).await;
         assert!(fleet.nodes[0].instance.drain().await);
         fleet.nodes[1].instance.set_work(Duration::from_secs(2));
         let caller = fleet.caller(0);
         let asking = caller.call(Method::GET, "/notices/1", "left");
-        let gone = async {
+        let disconnect = async {
             smol::Timer::after(Duration::from_millis(300)).await;
             None
         };
-        assert!(smol::future::or(asking, gone).await.is_none());
+        assert!(smol::future::or(asking, disconnect).await.is_none());
         drop(caller);
         let left = Instant::now();
         let ended = async |fleet: &HostedFleet| fleet.nodes[1].instance.abandoned() == ["left"];
@@ -463,11 +464,11 @@
 }
 
 #[test]
-fn large_answers_on_a_narrow_link_hold_no_slot_and_no_small_answer() {
-    // A host's link carries 2 Mbit/s, so a document of 240 KB takes a second. Two
-    // callers fetch one at once from an instance with one slot. A lookup right
-    // behind them is answered while they are still being sent, since the slot is
-    // free again, and both documents arrive whole.
+fn large_answers_on_a_narrow_link_block_neither_slots_nor_small_answers() {
+    // A host's link carries 2 Mbit/s, so that a document of 240 KB takes a second. Two callers
+    // fetch one each at the same time from an instance with one slot. A lookup sent 100 ms
+    // later is answered while both are still being sent, since the slot is free again, and
+    // both documents arrive complete.
     run(async {
         let mut fleet = serving(1).await;
         fleet.kill(0);
@@ -502,10 +503,11 @@
 }
 
 #[test]
-fn another_instance_at_the_address_runs_nothing_meant_for_the_old() {
-    // An instance ends and another takes its address without a word. Requests
-    // meant for the old one are refused by it as not run and served elsewhere.
-    // A report of the old one that was held up does not bring it back.
+fn a_new_instance_at_an_address_runs_no_request_meant_for_the_old_one() {
+    // An instance ends and another takes its address without a report. The new instance
+    // refuses requests meant for the old one as not run, and they are served elsewhere. After
+    // its first report the new instance gets requests, also if a delayed report of the old
+    // instance arrives.
     run(async {
         let fleet = serving(2).await;
         fleet.nodes[0].instance.set_beats(false);
@@ -517,7 +519,7 @@
         }
         assert!(fleet.nodes[0].instance.beat_as("i-9", 1, false).await);
         assert!(fleet.nodes[0].instance.beat_as("i-0", 500, false).await);
-        busy(&fleet);
+        slow_instances(&fleet);
         let again = async |fleet: &HostedFleet| {
             let before = fleet.nodes[0].instance.seen().len();
             let ids: Vec<String> = (0..24).map(|n| format!("again-{n}")).collect();
@@ -529,10 +531,10 @@
 }
 
 #[test]
-fn an_instance_that_starts_again_under_its_id_is_another_one() {
-    // An instance has counted its heartbeats to 900 and drains, which is acknowledged.
-    // It starts again under its id and counts from zero. Callers are served by the new
-    // start; a held-up heartbeat of the old one, that it drains, takes nothing away.
+fn an_instance_restarted_under_its_id_replaces_the_old_start() {
+    // An instance has counted its heartbeats to 900 and drains, which is acknowledged. It
+    // restarts under its id and counts from zero. Callers are served by the new start, and
+    // delayed heartbeats of the old start that report draining do not change this.
     run(async {
         let fleet = serving(1).await;
         let instance = &fleet.nodes[0].instance;
@@ -551,9 +553,9 @@
 }
 
 #[test]
-fn an_instance_that_left_may_start_again_under_its_id() {
-    // An instance says that it is gone, and a late heartbeat of it brings nothing back.
-    // It starts again under its id and is served to callers.
+fn an_instance_that_left_may_restart_under_its_id() {
+    // An instance deregisters, and a late heartbeat of it does not bring it back. It restarts
+    // under its id and gets requests again.
     run(async {
         let fleet = serving(1).await;
         let instance = &fleet.nodes[0].instance;
@@ -567,10 +569,10 @@
 }
 
 #[test]
-fn a_frozen_host_gets_nothing_until_it_wakes() {
-    // One of three daemons is frozen. Lookups of the others are answered within
-    // their time from the first moment on; after it wakes it is used again, and
-    // what waited at it while it slept is not run for callers who are gone.
+fn a_frozen_host_gets_no_requests_until_it_resumes() {
+    // One of three daemons is frozen. Lookups at another daemon succeed from the first moment
+    // on, and at most one of 40 takes more than 900 ms. After the frozen daemon resumes, its
+    // instance gets requests again.
     run(async {
         let fleet = serving(3).await;
         for n in 0..60 {
@@ -586,7 +588,7 @@
         }
         assert!(slow <= 1, "{slow} were slow: {}", fleet.log(0));
         fleet.signal(1, "-CONT");
-        busy(&fleet);
+        slow_instances(&fleet);
         let used = async |fleet: &HostedFleet| {
             let before = fleet.nodes[1].instance.seen().len();
             let ids: Vec<String> = (0..24).map(|n| format!("awake-{n}")).collect();
@@ -597,17 +599,17 @@
             let lines = log.lines().filter(|line| !line.contains("\"event\""));
             lines.map(|line| format!("{line}\n")).collect::<String>()
         };
-        let story = || format!("{}{}", events(&fleet.log(0)), events(&fleet.log(1)));
-        assert!(fleet.wait(used).await, "{}", story());
+        let logs = || format!("{}{}", events(&fleet.log(0)), events(&fleet.log(1)));
+        assert!(fleet.wait(used).await, "{}", logs());
     });
 }
 
 #[test]
-fn a_daemon_that_starts_again_finds_its_instance_before_the_next_report() {
-    // A daemon is started again beside an instance that lives on and has just
-    // reported. Until its next report nobody could send to it, although it has all
-    // slots free: its service is short of one upstream for as long. So the daemon
-    // asks it who it is.
+fn a_restarted_daemon_finds_its_instance_before_the_next_report() {
+    // A daemon is restarted while the instance on its host goes on running and has just
+    // reported. Until its next report no daemon could send it requests, although all its slots
+    // are free, and its service would lack one upstream for that time. The daemon therefore
+    // identifies the instance by a request to it.
     run(async {
         let mut fleet = serving(2).await;
         fleet.nodes[1].instance.set_beats(false);
@@ -620,11 +622,11 @@
 }
 
 #[test]
-fn a_stopping_daemon_serves_what_others_send_until_it_tells_them() {
-    // A daemon is stopped as planned. Its callers have two seconds to move; meanwhile
-    // the instance beside it can go on serving what others send. If the stop is told
-    // at once it gets nothing more from the first moment on, and its slots stand
-    // empty.
+fn a_stopping_daemon_serves_forwarded_requests_until_it_announces_the_stop() {
+    // A daemon makes a planned stop. Its callers have two seconds to move; meanwhile the
+    // instance on its host can serve requests that other daemons forward. If the stop were
+    // announced at once, the instance would get no more requests from the first moment on, and
+    // its slots would stay empty.
     run(async {
         let fleet = serving(2).await;
         fleet.change_settings(1, "limits", json!({"leave_ms": 2400, "finish_ms": 3000}));
@@ -633,23 +635,23 @@
         assert!(fleet.wait(taken).await, "{}", last_lines(&fleet.log(1)));
         fleet.signal(1, "-TERM");
         let gone = fleet.wait(async |fleet: &HostedFleet| !fleet.is_ready(1).await).await;
-        assert!(gone, "it still says that it takes work");
-        busy(&fleet);
+        assert!(gone, "the stopping daemon still reports that it is ready");
+        slow_instances(&fleet);
         let ids: Vec<String> = (0..16).map(|i| format!("r{i}")).collect();
         let answers = fleet.answers(0, "/notices/1", &ids).await;
         let answers: Vec<_> = answers.into_iter().flatten().collect();
         assert!(answers.iter().all(|res| res.status().as_u16() == 200), "{answers:?}");
         let by_stopping = answers.iter().filter(|res| res.body().starts_with("i-1 ")).count();
-        assert!(by_stopping > 0, "the instance beside the stopping daemon got nothing");
+        assert!(by_stopping > 0, "the instance on the host of the stopping daemon got no request");
     });
 }
 
 #[test]
 fn a_stopping_daemon_waits_for_an_answer_although_its_host_is_silent() {
-    // A lookup runs at the only instance, behind another daemon, when the daemon
-    // of its caller is told to stop. Then the other one stands still for longer
-    // than it takes to be called silent, and goes on. The caller gets the
-    // instance's answer: a planned stop gives nothing up that is being worked on.
+    // A lookup runs at the only instance, on the host of another daemon, when the daemon of its
+    // caller is stopped. The other daemon is then frozen for longer than it takes to be marked
+    // as silent, and resumes. The caller gets the instance's answer: a planned stop gives up no
+    // call in flight.
     run(async {
         let fleet = serving(2).await;
         assert!(fleet.nodes[0].instance.drain().await);
@@ -667,14 +669,14 @@
     });
 }
 
-/// Makes requests take so long that a few at once are too many for one instance.
-fn busy(fleet: &HostedFleet) {
+/// Makes requests slow, so that one instance cannot run a few of them at once.
+fn slow_instances(fleet: &HostedFleet) {
     for node in &fleet.nodes {
         node.instance.set_work(Duration::from_millis(100));
     }
 }
 
-/// Returns the end of a log, where the cause of a failure stands.
+/// Returns the last lines of a log, which show the cause of a failure.
 fn last_lines(log: &str) -> String {
     let lines: Vec<&str> = log.lines().collect();
     lines[lines.len().saturating_sub(12)..].join("\n")
