--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -89,7 +89,7 @@
     let lease = lock(&d.entry_lease).take();
     if let Some(lease) = lease {
         // The store may be unavailable; the entry then expires with its lease.
-        let _ended = d.platform.revoke(lease).await;
+        let _ended = d.store.revoke(lease).await;
     }
 }
 
@@ -204,7 +204,7 @@
     /// Reads the entries and compares tables with unknown daemons among them, those of
     /// the own failure domain first; returns whether this daemon's own entry is listed.
     async fn read_entries(&mut self, d: &Arc<Daemon>) -> Result<bool, PlatformError> {
-        let pairs = d.platform.list_maybe_old(keys::DAEMONS).await?;
+        let pairs = d.store.list_maybe_old(keys::DAEMONS).await?;
         let own_key = keys::daemon(&d.settings.host);
         let is_own_listed = pairs.iter().any(|pair| pair.key == own_key);
         let others = pairs.iter().filter(|pair| pair.key != own_key).filter_map(decode);
@@ -222,7 +222,7 @@
             self.startup_peer = found;
             self.next_sync = d.clock.now() + FIRST_SYNC_DELAY;
         }
-        d.joined.store(true, Ordering::Relaxed);
+        d.has_read_entries.store(true, Ordering::Relaxed);
         Ok(is_own_listed)
     }
 
@@ -231,7 +231,7 @@
     /// The entry and its lease are then gone, or the lease's id belongs to another
     /// daemon. Until the next renewal, daemons that start would find no other.
     fn check_era(&mut self, d: &Daemon) {
-        let era = d.platform.era();
+        let era = d.store.era();
         if self.era.is_some() && era != self.era {
             self.forget_lease(d);
             self.next_read = d.clock.now();
@@ -251,7 +251,7 @@
     async fn renew(&mut self, d: &Arc<Daemon>) -> Result<(), PlatformError> {
         let held = *lock(&d.entry_lease);
         let kept = match held {
-            Some(lease) => d.platform.keep_alive(lease).await?,
+            Some(lease) => d.store.keep_alive(lease).await?,
             None => false,
         };
         if !kept {
@@ -265,13 +265,13 @@
 
     /// Writes the entry under a new lease.
     async fn write_entry(&mut self, d: &Arc<Daemon>) -> Result<Option<Lease>, PlatformError> {
-        let lease = d.platform.grant(LEASE_TTL).await?;
+        let lease = d.store.grant(LEASE_TTL).await?;
         let record = d.members.own();
         let entry = Entry { mesh: record.far, domain: record.domain };
         let buf =
             serde_json::to_vec(&entry).map_err(|err| PlatformError::Protocol(err.to_string()))?;
         let key = keys::daemon(&d.settings.host);
-        let swap = d.platform.put_leased(&key, &buf, lease).await?;
+        let swap = d.store.put_leased(&key, &buf, lease).await?;
         self.written = Some(d.clock.now());
         Ok((swap == Swap::Done).then_some(lease))
     }
--- a/src/daemon/promotion.rs
+++ b/src/daemon/promotion.rs
@@ -60,7 +60,7 @@
             }
         }
     }
-    d.record.finish(d, draft);
+    d.delivery_record.finish(d, draft);
     Ok(())
 }
 
--- a/src/daemon/readiness.rs
+++ b/src/daemon/readiness.rs
@@ -21,7 +21,7 @@
 /// served.
 pub async fn handle(d: Arc<Daemon>, req: Request<Body>) -> Response<Body> {
     let path = req.uri().path();
-    let hosted = d.hosted.as_ref().is_some_and(|hosted| hosted.is_readiness_path(path));
+    let hosted = d.platform_adapter.as_ref().is_some_and(|hosted| hosted.is_readiness_path(path));
     if path != READY_PATH && !hosted {
         return headers::plain(StatusCode::NOT_FOUND, "no such path\n");
     }
@@ -46,7 +46,7 @@
     if d.versions.running_version() == 0 {
         return Some("no configuration yet");
     }
-    let not_joined = d.hosted.is_some() && !d.joined.load(Ordering::Relaxed);
+    let not_joined = d.platform_adapter.is_some() && !d.has_read_entries.load(Ordering::Relaxed);
     if not_joined && d.members.live_count() < 2 {
         return Some("no other daemon found yet");
     }
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -120,7 +120,7 @@
             Some(err)
         };
         let failure = smol::future::or(failure, not_needed).await;
-        d.follows.store(false, Ordering::Relaxed);
+        d.follows_store.store(false, Ordering::Relaxed);
         let Some(err) = failure else {
             log::info!("configuration: left to members that follow the store");
             continue;
@@ -182,15 +182,15 @@
 }
 
 async fn send_heartbeats(d: &Daemon) {
-    if !d.follows.load(Ordering::Relaxed) {
+    if !d.follows_store.load(Ordering::Relaxed) {
         return;
     }
     let followers = d.members.followers();
     if !followers.contains(&d.me) {
         return;
     }
-    for host in d.members.members_of(&followers, d.me) {
-        datagrams::tell(d, host).await;
+    for host in d.members.heartbeat_targets(&followers, d.me) {
+        datagrams::send_heartbeat(d, host).await;
     }
 }
 
@@ -204,7 +204,7 @@
     let (document, now) = (&d.versions.document, d.clock.now());
     let is_designated = d.members.followers().contains(&d.me);
     let wait = if is_designated { FOLLOW_DELAY.0 } else { FOLLOW_DELAY.1 };
-    if !d.follows.load(Ordering::Relaxed) && document.was_first_read_within(now, wait) {
+    if !d.follows_store.load(Ordering::Relaxed) && document.was_first_read_within(now, wait) {
         return false;
     }
     is_designated || !document.has_live_follower(now)
@@ -232,7 +232,7 @@
     if may_wait(d, member, member_follows, behind) {
         return;
     }
-    if d.learning.swap(true, Ordering::Relaxed) {
+    if d.is_fetching_config.swap(true, Ordering::Relaxed) {
         return;
     }
     if let Some(to) = d.members.address(member) {
@@ -240,7 +240,7 @@
             log::debug!("cannot fetch the configuration from {to}: {err}");
         }
     }
-    d.learning.store(false, Ordering::Relaxed);
+    d.is_fetching_config.store(false, Ordering::Relaxed);
 }
 
 /// Returns whether to wait for the usual source of a newer version rather than ask this
@@ -256,7 +256,7 @@
     if document.version() == 0 {
         return behind < FIRST_READ_WAIT;
     }
-    if d.follows.load(Ordering::Relaxed) && document.was_confirmed_within(now, FOLLOWING_MAX_AGE) {
+    if d.follows_store.load(Ordering::Relaxed) && document.was_confirmed_within(now, FOLLOWING_MAX_AGE) {
         return behind < ASK_ANY_MEMBER_AFTER;
     }
     if !document.has_live_follower(now) {
@@ -342,7 +342,7 @@
             let after = debounce(d, key, pair.revision).await?;
             // The new watch does not report orders that were written during the burst.
             read_orders(d).await?;
-            watch = d.platform.watch_from(d.operator_prefix(), after).await?;
+            watch = d.store.watch_from(d.operator_prefix(), after).await?;
         }
     }
 }
@@ -351,8 +351,8 @@
 fn apply_order_changes(d: &Daemon, changes: &[Change]) {
     for change in changes {
         match change {
-            Change::Put(pair) if d.is_order(&pair.key) => d.rollouts.take_order(d, pair),
-            Change::Deleted(key) if d.is_order(key) => {
+            Change::Put(pair) if d.is_rollout_order(&pair.key) => d.rollouts.take_order(d, pair),
+            Change::Deleted(key) if d.is_rollout_order(key) => {
                 d.rollouts.take_back(key.rsplit('/').next().unwrap_or_default());
             }
             Change::Put(_) | Change::Deleted(_) => {}
@@ -362,8 +362,8 @@
 
 /// Reads and applies all rollout orders.
 async fn read_orders(d: &Daemon) -> Result<(), PlatformError> {
-    let Some(hosted) = &d.hosted else { return Ok(()) };
-    let pairs = d.platform.list(hosted.order_prefix(), false).await?;
+    let Some(hosted) = &d.platform_adapter else { return Ok(()) };
+    let pairs = d.store.list(hosted.order_prefix(), false).await?;
     d.rollouts.take_orders(d, &pairs);
     Ok(())
 }
@@ -372,13 +372,13 @@
 /// revision, otherwise after reading all keys.
 async fn start_watch(d: &Daemon, key: &str) -> Result<ClientWatch, PlatformError> {
     let installed = d.versions.document.revision();
-    let is_current_era = d.platform.era().is_none_or(|era| era == installed.era);
+    let is_current_era = d.store.era().is_none_or(|era| era == installed.era);
     if !installed.is_absent() && is_current_era {
         read_orders(d).await?;
-        return d.platform.watch_from(d.operator_prefix(), installed).await;
+        return d.store.watch_from(d.operator_prefix(), installed).await;
     }
-    let (pairs, watch) = d.platform.list_and_watch(d.operator_prefix()).await?;
-    let is_order = |pair: &&Pair| d.is_order(&pair.key);
+    let (pairs, watch) = d.store.list_and_watch(d.operator_prefix()).await?;
+    let is_order = |pair: &&Pair| d.is_rollout_order(&pair.key);
     let orders: Vec<Pair> = pairs.iter().filter(is_order).cloned().collect();
     d.rollouts.take_orders(d, &orders);
     for pair in pairs.into_iter().filter(|pair| pair.key == key) {
@@ -408,7 +408,7 @@
 
 /// Reads the key and puts its version in force; returns its revision.
 async fn read_key(d: &Daemon, key: &str) -> Result<Option<Revision>, PlatformError> {
-    let Some(pair) = d.platform.get(key).await? else { return Ok(None) };
+    let Some(pair) = d.store.get(key).await? else { return Ok(None) };
     install_text(d, Bytes::from(pair.value), pair.revision, "store");
     Ok(Some(pair.revision))
 }
@@ -416,7 +416,7 @@
 /// Records that the store has no newer version and that this daemon follows the store.
 fn mark_current(d: &Daemon, now: Instant) {
     d.versions.document.confirm(now);
-    d.follows.store(true, Ordering::Relaxed);
+    d.follows_store.store(true, Ordering::Relaxed);
 }
 
 /// Puts a version in force if it is valid and newer; otherwise the version in force
@@ -439,7 +439,7 @@
     let routes = running.table.len();
     // Members ask only followers for updates; other daemons need not keep the text before
     // this one.
-    let keep_older = d.follows.load(Ordering::Relaxed);
+    let keep_older = d.follows_store.load(Ordering::Relaxed);
     if !d.versions.install(running, revision, text, keep_older) {
         return;
     }
--- a/src/daemon/sources.rs
+++ b/src/daemon/sources.rs
@@ -56,6 +56,6 @@
 
 /// Returns the readers of other failure domains.
 pub fn readers_of_other_domains(d: &Daemon) -> Vec<SocketAddr> {
-    let far = d.members.far();
+    let far = d.members.live_in_other_domains();
     far.iter().filter(|record| record.reader).map(|record| record.far).collect()
 }
