--- a/src/daemon/callers.rs
+++ b/src/daemon/callers.rs
@@ -10,18 +10,18 @@
 
 /// Callers that were sent away.
 #[derive(Default)]
-pub struct Callers {
+pub struct ShardedReturningCallers {
     shards: [Mutex<ReturningCallers>; SHARDS],
 }
 
-impl Callers {
+impl ShardedReturningCallers {
     /// Returns when the caller of a call first came, if it was sent away before.
-    pub fn first_came(&self, kind: KindKey, until: Instant) -> Option<Instant> {
+    pub fn take_first_arrival(&self, kind: KindKey, until: Instant) -> Option<Instant> {
         lock(self.shard(kind)).take_first_arrival(kind, until)
     }
 
     /// Takes in that a call was given no answer.
-    pub fn sent_away(&self, kind: KindKey, since: Instant, until: Instant, now: Instant) {
+    pub fn record_unanswered(&self, kind: KindKey, since: Instant, until: Instant, now: Instant) {
         lock(self.shard(kind)).record_unanswered(kind, since, until, now);
     }
 
--- a/src/daemon/costs.rs
+++ b/src/daemon/costs.rs
@@ -23,7 +23,7 @@
     /// Probes and their answers.
     Probe,
     /// Changes of membership.
-    News,
+    Membership,
     /// Words of those that follow the store.
     Heartbeat,
     /// Comparisons of tables.
@@ -42,7 +42,7 @@
 
 const PURPOSES: [(Purpose, &str); 9] = [
     (Purpose::Probe, "probe"),
-    (Purpose::News, "news"),
+    (Purpose::Membership, "news"),
     (Purpose::Heartbeat, "heartbeat"),
     (Purpose::Table, "table"),
     (Purpose::Limit, "limit"),
@@ -67,7 +67,7 @@
     }
 
     /// Returns all bytes that were not calls and their answers.
-    pub fn control(&self) -> u64 {
+    pub fn control_bytes(&self) -> u64 {
         let is_control = |purpose: &Purpose| !matches!(purpose, Purpose::Call | Purpose::Answer);
         let purposes = PURPOSES.iter().map(|(purpose, _)| *purpose).filter(is_control);
         purposes.map(|purpose| read(&self.near, purpose) + read(&self.far, purpose)).sum()
--- a/src/daemon/datagrams.rs
+++ b/src/daemon/datagrams.rs
@@ -87,7 +87,7 @@
     let purpose = match (kind, news.is_empty()) {
         _ if news.is_of_limits() => Purpose::Limit,
         (Kind::News, true) => Purpose::Heartbeat,
-        (Kind::News, false) => Purpose::News,
+        (Kind::News, false) => Purpose::Membership,
         _ => Purpose::Probe,
     };
     let datagram = Datagram {
--- a/src/daemon/gates/ended.rs
+++ b/src/daemon/gates/ended.rs
@@ -12,7 +12,7 @@
 //! one that nothing is sent to is found to have ended by its missing reports.
 
 use super::end_check::{Breaking, Found};
-use super::local::Local;
+use super::local::LocalUpstream;
 use crate::daemon::{Daemon, quarantine};
 use cicadashift_core::ids::CallDigest;
 use cicadashift_http::exec;
@@ -33,7 +33,11 @@
 /// Finds out whether an upstream ended when a call at it broke; to be called before the
 /// call is taken off those at work there. The first call that finds it ended takes it
 /// away and lets all of them be suspected.
-pub async fn after_break(d: &Arc<Daemon>, local: &Arc<Local>, call: CallDigest) -> bool {
+pub async fn check_after_broken_call(
+    d: &Arc<Daemon>,
+    local: &Arc<LocalUpstream>,
+    call: CallDigest,
+) -> bool {
     let _counted = Breaking::new(&local.end_check.breaking);
     let has_ended = find(d, local).await;
     if has_ended {
@@ -45,11 +49,11 @@
 
 /// Finds out whether an upstream ended when it could not be connected to: whoever waited
 /// for it may have left before.
-pub async fn after_refusal(d: &Arc<Daemon>, local: &Arc<Local>) -> bool {
+pub async fn check_after_refused_connection(d: &Arc<Daemon>, local: &Arc<LocalUpstream>) -> bool {
     find(d, local).await
 }
 
-async fn find(d: &Arc<Daemon>, local: &Arc<Local>) -> bool {
+async fn find(d: &Arc<Daemon>, local: &Arc<LocalUpstream>) -> bool {
     let broke = d.clock.now();
     // The first call asks, the others wait here for what it finds.
     let mut found = local.end_check.found.lock().await;
@@ -78,7 +82,7 @@
 }
 
 /// Returns whether an upstream ended, a moment after a call at it broke.
-async fn serves_no_more(local: &Local) -> bool {
+async fn serves_no_more(local: &LocalUpstream) -> bool {
     if is_refused(local.address).await {
         return true;
     }
--- a/src/daemon/gates/local.rs
+++ b/src/daemon/gates/local.rs
@@ -34,7 +34,7 @@
 const GIVEN_UP_KEPT: usize = 64;
 
 /// One upstream on this host.
-pub struct Local {
+pub struct LocalUpstream {
     /// Its name in the mesh, which no other start of the instance has.
     pub name: String,
     /// The instance's own name.
@@ -77,8 +77,8 @@
     pub mean: Duration,
 }
 
-impl Local {
-    pub(super) fn new(announced: Announcement, now: Instant) -> Local {
+impl LocalUpstream {
+    pub(super) fn new(announced: Announcement, now: Instant) -> LocalUpstream {
         let mut gate = Gate::new(u32::from(announced.slots));
         if announced.readiness == Readiness::Draining {
             let _nobody_waits = gate.drain();
@@ -103,7 +103,7 @@
         };
         let pool = Pool::new(connections);
         let state = Mutex::new(state);
-        Local { name, instance, pool, address, end_check: EndCheck::default(), state }
+        LocalUpstream { name, instance, pool, address, end_check: EndCheck::default(), state }
     }
 
     /// Returns when it started, zero where that is not told.
@@ -134,12 +134,12 @@
         self: &Arc<Self>,
         arrival: Arrival,
         clock: &Arc<dyn Clock>,
-    ) -> Result<Pass, Refusal> {
+    ) -> Result<SlotPermit, Refusal> {
         let now = clock.now();
         let (ticket, rx) = {
             let mut state = lock(&self.state);
             match state.gate.admit(arrival, now, fastrand::u64(..)) {
-                Admission::Run(ticket) => return Ok(Pass::new(self, ticket)),
+                Admission::Run(ticket) => return Ok(SlotPermit::new(self, ticket)),
                 Admission::Refuse(refusal) => return Err(refusal),
                 Admission::Wait(ticket) => {
                     let (tx, rx) = smol::channel::bounded(1);
@@ -194,7 +194,7 @@
     }
 
     /// Notes that the upstream could not be connected to.
-    pub fn unreached(&self) {
+    pub fn record_connect_failure(&self) {
         lock(&self.state).unreached += 1;
     }
 
@@ -220,7 +220,7 @@
 
     /// Notes that a call was given up without a word from the upstream: its
     /// other connections may be as silent.
-    pub fn silent(&self, d: &Daemon) {
+    pub fn record_timeout(&self, d: &Daemon) {
         d.metrics.incr("upstream.silent");
         self.pool.forget(self.address);
     }
@@ -238,12 +238,12 @@
     }
 
     /// Returns the mean time that a call of a kind takes there.
-    pub fn time_of(&self, kind: KindKey) -> Duration {
+    pub fn service_time(&self, kind: KindKey) -> Duration {
         lock(&self.state).gate.service_time(kind)
     }
 
     /// Returns the share of the calls sent to it that it takes.
-    pub fn accepts(&self, now: Instant) -> f64 {
+    pub fn acceptance_rate(&self, now: Instant) -> f64 {
         lock(&self.state).gate.acceptance_rate(now)
     }
 
@@ -367,7 +367,7 @@
 
 /// A call in the queue; leaves it when its caller does.
 struct Waiter {
-    local: Arc<Local>,
+    local: Arc<LocalUpstream>,
     ticket: Ticket,
     rx: Receiver<Result<(), Refusal>>,
     clock: Arc<dyn Clock>,
@@ -375,14 +375,14 @@
 }
 
 impl Waiter {
-    async fn wait(mut self) -> Result<Pass, Refusal> {
+    async fn wait(mut self) -> Result<SlotPermit, Refusal> {
         let news = loop {
             if let Some(news) = self.news_or_next_token().await {
                 break news;
             }
         };
         self.done = true;
-        news.map(|()| Pass::new(&self.local, self.ticket))
+        news.map(|()| SlotPermit::new(&self.local, self.ticket))
     }
 }
 
@@ -407,21 +407,21 @@
         self.local.cancel(self.ticket);
         // The gate may have let it in a moment ago: the slot is given back.
         if matches!(self.rx.try_recv(), Ok(Ok(()))) {
-            drop(Pass::new(&self.local, self.ticket));
+            drop(SlotPermit::new(&self.local, self.ticket));
         }
     }
 }
 
 /// The right to send one call to an upstream; gives its slot back when dropped.
-pub struct Pass {
-    local: Arc<Local>,
+pub struct SlotPermit {
+    local: Arc<LocalUpstream>,
     ticket: Ticket,
     ended: bool,
 }
 
-impl Pass {
-    fn new(local: &Arc<Local>, ticket: Ticket) -> Pass {
-        Pass { local: local.clone(), ticket, ended: false }
+impl SlotPermit {
+    fn new(local: &Arc<LocalUpstream>, ticket: Ticket) -> SlotPermit {
+        SlotPermit { local: local.clone(), ticket, ended: false }
     }
 
     /// Records what is about to be sent.
@@ -436,7 +436,7 @@
     }
 }
 
-impl Drop for Pass {
+impl Drop for SlotPermit {
     fn drop(&mut self) {
         if !self.ended {
             self.local.ended(self.ticket, End::Failed, Instant::now());
--- a/src/daemon/gates/mod.rs
+++ b/src/daemon/gates/mod.rs
@@ -8,7 +8,7 @@
 use super::{Daemon, lock};
 use cicadashift_core::membership::record::{Endpoint, Readiness};
 use cicadashift_edge::interface::Announcement;
-use local::{LATE_REPORT, Load, Local};
+use local::{LATE_REPORT, Load, LocalUpstream};
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
 
 #[derive(Default)]
 struct Inner {
-    by_name: HashMap<String, Arc<Local>>,
+    by_name: HashMap<String, Arc<LocalUpstream>>,
     /// Instances that left or whose address another one has now, newest last.
     ended: VecDeque<Ended>,
 }
@@ -80,7 +80,7 @@
     }
 
     /// Takes in that an upstream said in an answer that it leaves.
-    pub fn drain(&self, d: &Daemon, local: &Local) {
+    pub fn drain(&self, d: &Daemon, local: &LocalUpstream) {
         if local.leave() {
             self.publish(d);
         }
@@ -91,7 +91,7 @@
     /// Failure: the report of an instance that ended arrives after that of the
     /// one which has its address now. Symptom: every call is refused as
     /// misdirected until the next report. The one that answers is believed.
-    pub fn misdirected(&self, d: &Daemon, name: &str, other: Option<&str>) {
+    pub fn handle_misdirected(&self, d: &Daemon, name: &str, other: Option<&str>) {
         if let Some(other) = other {
             lock(&self.inner).ended.retain(|ended| ended.instance != other);
         }
@@ -101,7 +101,7 @@
     }
 
     /// Returns an upstream by its name in the mesh.
-    pub fn get(&self, name: &str) -> Option<Arc<Local>> {
+    pub fn get(&self, name: &str) -> Option<Arc<LocalUpstream>> {
         lock(&self.inner).by_name.get(name).cloned()
     }
 
@@ -110,7 +110,7 @@
         self.locals().iter().map(|(_, local)| (local.endpoint(), local.load())).collect()
     }
 
-    fn locals(&self) -> Vec<(String, Arc<Local>)> {
+    fn locals(&self) -> Vec<(String, Arc<LocalUpstream>)> {
         let inner = lock(&self.inner);
         inner.by_name.iter().map(|(name, local)| (name.clone(), local.clone())).collect()
     }
@@ -145,7 +145,11 @@
 impl Inner {
     /// Returns whether there is news for the mesh, and which upstreams the
     /// announced one replaces.
-    fn announce(&mut self, announced: Announcement, now: Instant) -> (bool, Vec<Arc<Local>>) {
+    fn announce(
+        &mut self,
+        announced: Announcement,
+        now: Instant,
+    ) -> (bool, Vec<Arc<LocalUpstream>>) {
         let (name, start) = (announced.instance.clone(), announced.start);
         if self.has_ended(&name, start, now) {
             log::info!("upstream {name} has ended; its late report is not taken in");
@@ -162,8 +166,9 @@
         }
         // An address has one instance, and an instance runs once: a new one means that
         // the old ended.
-        let is_replaced =
-            |local: &Arc<Local>| local.address == announced.address || local.instance == name;
+        let is_replaced = |local: &Arc<LocalUpstream>| {
+            local.address == announced.address || local.instance == name
+        };
         let replaced: Vec<(String, u64)> = self
             .by_name
             .values()
@@ -175,13 +180,13 @@
         // It may only have moved: what is announced has not ended.
         self.ended.retain(|ended| ended.instance != name || ended.start != start);
         log::info!("upstream {name} of {} announced, started at {start}", announced.service);
-        let local = Arc::new(Local::new(announced, now));
+        let local = Arc::new(LocalUpstream::new(announced, now));
         self.by_name.insert(local.name.clone(), local);
         (true, gone)
     }
 
     /// Returns the start of an instance that is known here.
-    fn known(&self, instance: &str) -> Option<Arc<Local>> {
+    fn known(&self, instance: &str) -> Option<Arc<LocalUpstream>> {
         self.by_name.values().find(|local| local.instance == instance).cloned()
     }
 
@@ -193,7 +198,7 @@
         })
     }
 
-    fn end(&mut self, instance: &str, start: u64, now: Instant) -> Option<Arc<Local>> {
+    fn end(&mut self, instance: &str, start: u64, now: Instant) -> Option<Arc<LocalUpstream>> {
         let known = self.known(instance);
         if known.as_ref().is_some_and(|local| !local.is_start(start)) {
             return None;
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -156,12 +156,12 @@
     } = datagram;
     liveness::heard(d, host);
     quarantine::heard(d, &suspicions);
-    limits::granted(d, &grants);
+    limits::apply_grants(d, &grants);
     if let Some(notice) = notice {
-        limits::heard(d, notice).await;
+        limits::handle_notice(d, notice).await;
     }
     if !usages.is_empty() {
-        let grants = limits::reported(d, &usages);
+        let grants = limits::handle_usages(d, &usages);
         send_news(d, (host, from), Kind::News, News { grants, ..News::default() }).await;
     }
     if follows {
--- a/src/daemon/in_band.rs
+++ b/src/daemon/in_band.rs
@@ -2,10 +2,10 @@
 //!
 //! The exit daemon decodes them ([`Signals`]) and applies them ([`apply`]): a limit paces its
 //! gate, and an upstream that leaves is drained as by a report. Entry daemons are told in
-//! each answer and remember it ([`Remembered`]), since the exit daemon may start again and
+//! each answer and remember it ([`RememberedSignals`]), since the exit daemon may start again and
 //! forget. docs/DESIGN.md, "What an upstream says in its answers", has the reasons.
 
-use super::gates::local::Local;
+use super::gates::local::LocalUpstream;
 use super::request::headers;
 use super::{Daemon, lock};
 use cicadashift_core::ids::HostKey;
@@ -52,7 +52,7 @@
 }
 
 /// Takes in what an answer of an upstream on this host says; `sent` is when its call was.
-pub fn apply(d: &Daemon, local: &Arc<Local>, signals: Signals, sent: Instant) {
+pub fn apply(d: &Daemon, local: &Arc<LocalUpstream>, signals: Signals, sent: Instant) {
     if signals.leaves && !local.signalled_leaving() {
         d.metrics.incr("upstream.leaving_signalled");
         log::info!("upstream {} leaves, as its answers say", local.instance);
@@ -81,7 +81,7 @@
 
 /// What upstreams said in answers that passed here, by host and instance.
 #[derive(Default)]
-pub struct Remembered {
+pub struct RememberedSignals {
     rows: Mutex<HashMap<(HostKey, String), Row>>,
 }
 
@@ -94,10 +94,10 @@
     at: Instant,
 }
 
-impl Remembered {
+impl RememberedSignals {
     /// Takes in what the exit daemon tells of an upstream beside an answer; returns
     /// whether it is news that the upstream leaves.
-    pub fn take(&self, host: HostKey, name: &str, head: &HeaderMap, now: Instant) -> bool {
+    pub fn record(&self, host: HostKey, name: &str, head: &HeaderMap, now: Instant) -> bool {
         let limit = headers::number(head, call::LIMIT_THOUSANDTHS);
         let limit = limit.map(|number| NamedLimit::from_thousandths(number as u32));
         let leaving = headers::number(head, call::LEAVING_START);
--- a/src/daemon/limits.rs
+++ b/src/daemon/limits.rs
@@ -19,7 +19,7 @@
 
 /// Limits at this daemon.
 #[derive(Default)]
-pub struct Limits {
+pub struct MeshLimits {
     /// What this daemon may admit.
     shares: [Mutex<HashMap<LimitKey, Limiter>>; SHARDS],
     /// Accounts of the limits that it keeps.
@@ -39,7 +39,7 @@
     heard: HashMap<HostKey, u64>,
 }
 
-impl Limits {
+impl MeshLimits {
     /// Decides about one call under a limit; one that is late gives way to others while
     /// the limit is held back.
     pub fn admit(&self, key: LimitKey, is_late: bool, now: Instant, random: u64) -> bool {
@@ -88,7 +88,7 @@
         }
         for (keeper, usages) in by_keeper(&d.members.limit_keepers(), usages) {
             match keeper == d.me {
-                true => granted(&d, &reported(&d, &usages)),
+                true => apply_grants(&d, &handle_usages(&d, &usages)),
                 false => {
                     for part in usages.chunks(USAGES_PER_DATAGRAM) {
                         datagrams::tell_usages(&d, keeper, part.to_vec()).await;
@@ -100,7 +100,7 @@
 }
 
 /// Takes in what a daemon saw of limits kept here; returns what it may admit.
-pub fn reported(d: &Daemon, usages: &[Usage]) -> Vec<Grant> {
+pub fn handle_usages(d: &Daemon, usages: &[Usage]) -> Vec<Grant> {
     let now = d.clock.now();
     let parts = Parts::now(d);
     let mut accounts = lock(&d.limits.accounts);
@@ -177,7 +177,7 @@
 }
 
 /// Takes a notice in, and passes it on if it is new here.
-pub async fn heard(d: &Daemon, notice: Notice) {
+pub async fn handle_notice(d: &Daemon, notice: Notice) {
     let is_new = {
         let mut notices = lock(&d.limits.notices);
         let last = notices.heard.entry(notice.keeper).or_default();
@@ -202,7 +202,7 @@
 }
 
 /// Takes in what this daemon may admit.
-pub fn granted(d: &Daemon, grants: &[Grant]) {
+pub fn apply_grants(d: &Daemon, grants: &[Grant]) {
     let now = d.clock.now();
     for grant in grants {
         if let Some(share) = lock(d.limits.shard(grant.key)).get_mut(&grant.key) {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -135,13 +135,13 @@
     /// Signs of life of other hosts.
     pub liveness: Mutex<Liveness>,
     /// Callers that were sent away.
-    pub callers: callers::Callers,
+    pub returning_callers: callers::ShardedReturningCallers,
     /// Calls that end the upstreams which run them.
     pub quarantine: quarantine::Quarantine,
     /// Limits that all daemons keep together.
-    pub limits: limits::Limits,
+    pub limits: limits::MeshLimits,
     /// What upstreams said of themselves in answers that passed here.
-    pub signals: in_band::Remembered,
+    pub signals: in_band::RememberedSignals,
     /// Rollouts of new versions.
     pub rollouts: rollouts::Rollouts,
     /// Upstreams as chosen from here.
@@ -360,10 +360,10 @@
             versions: versions::Versions::new(&settings, me, life, clock.clone()),
             members: members::Members::new(&settings, me, life, ports.mesh, clock.now()),
             liveness: Mutex::default(),
-            callers: callers::Callers::default(),
+            returning_callers: callers::ShardedReturningCallers::default(),
             quarantine: quarantine::Quarantine::default(),
-            limits: limits::Limits::default(),
-            signals: in_band::Remembered::default(),
+            limits: limits::MeshLimits::default(),
+            signals: in_band::RememberedSignals::default(),
             rollouts: rollouts::Rollouts::default(),
             services: services::Services::new(settings.choice),
             gates: gates::Gates::new(),
--- a/src/daemon/record.rs
+++ b/src/daemon/record.rs
@@ -54,7 +54,7 @@
             staged_ms: None,
             run_ms: None,
             offered: 0,
-            control_bytes: d.costs.control(),
+            control_bytes: d.costs.control_bytes(),
             late: Vec::new(),
         };
         RowDraft { row }
@@ -96,7 +96,7 @@
     pub fn finish(&self, d: &Arc<Daemon>, draft: RowDraft) {
         let mut row = draft.row;
         let before = row.control_bytes;
-        row.control_bytes = d.costs.control().saturating_sub(before);
+        row.control_bytes = d.costs.control_bytes().saturating_sub(before);
         self.add(vec![row.clone()]);
         let mut others = d.members.others();
         fastrand::shuffle(&mut others);
--- a/src/daemon/request/attempts/mod.rs
+++ b/src/daemon/request/attempts/mod.rs
@@ -34,7 +34,7 @@
 
 /// Sends the call until there is something to tell its caller.
 pub async fn run(d: &Arc<Daemon>, mut work: Work, mut payload: Payload) -> Response<Body> {
-    d.services.earn(d, &work.service);
+    d.services.earn_retries(d, &work.service);
     let mut so_far = SoFar::default();
     loop {
         let now = d.clock.now();
--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/second.rs
@@ -54,7 +54,7 @@
         service.picker.record_late(key, work.demand(began), passed, now);
     });
     let spare = match may_double {
-        true => d.services.choose_spare(&work.service, work.demand(now), now, &so_far.tried),
+        true => d.services.choose_hedge(&work.service, work.demand(now), now, &so_far.tried),
         false => None,
     };
     let (spare, body) = match (spare, payload.take()) {
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -108,7 +108,7 @@
         && !is_within_quota(d, account, started >= first_came + route.objective(), started)
     {
         if let Some(until) = until {
-            d.callers.sent_away(KindKey(kind), first_came, until, started);
+            d.returning_callers.record_unanswered(KindKey(kind), first_came, until, started);
         }
         return over_quota(d, &request_id, version, &account.name);
     }
@@ -174,7 +174,7 @@
     }
     // Whoever gets no answer may come back.
     if let Some(until) = until.filter(|_| res.status().is_server_error()) {
-        d.callers.sent_away(KindKey(kind), first_came, until, d.clock.now());
+        d.returning_callers.record_unanswered(KindKey(kind), first_came, until, d.clock.now());
     }
     res
 }
@@ -182,7 +182,7 @@
 /// Returns when the caller that waits until a moment first came, if it was sent away.
 fn first_came(d: &Daemon, kind: u64, until: Option<Instant>) -> Option<Instant> {
     let until = until.filter(|_| d.settings.load.returning)?;
-    d.callers.first_came(KindKey(kind), until)
+    d.returning_callers.take_first_arrival(KindKey(kind), until)
 }
 
 /// Returns whether a request may be begun before the answers to those before it on
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -6,7 +6,7 @@
 use super::story::Admit;
 use super::tracked::{Counted, Tracked};
 use crate::daemon::gates::ended;
-use crate::daemon::gates::local::{Local, Pass};
+use crate::daemon::gates::local::{LocalUpstream, SlotPermit};
 use crate::daemon::in_band::{self, Signals};
 use crate::daemon::{Daemon, lock, quarantine};
 use cicadashift_core::request::gate::pace::NamedLimit;
@@ -65,7 +65,7 @@
     }
     let kind = KindKey(cx.call_kind);
     let objective = Duration::from_millis(u64::from(cx.objective_ms));
-    let on_link = match (origin, time_on_link(&d, &cx, local.time_of(kind), arrived)) {
+    let on_link = match (origin, time_on_link(&d, &cx, local.service_time(kind), arrived)) {
         (_, Ok(time)) => time,
         // The answer leaves by this link wherever it comes from.
         (Origin::Here, Err(backlog)) => backlog,
@@ -147,8 +147,8 @@
     d: Arc<Daemon>,
     cx: Context,
     mut req: Request<Body>,
-    local: Arc<Local>,
-    pass: Pass,
+    local: Arc<LocalUpstream>,
+    pass: SlotPermit,
     deadline: Instant,
 ) -> Response<Body> {
     let started = d.clock.now();
@@ -159,13 +159,13 @@
     let (res, connection) = match sent {
         Some(Ok(answered)) => answered,
         Some(Err(err)) if err.is_unsent() => {
-            local.unreached();
-            ended::after_refusal(&d, &local).await;
+            local.record_connect_failure();
+            ended::check_after_refused_connection(&d, &local).await;
             pass.end(End::Failed, d.clock.now());
             return not_run(&d, &cx, "unreached", UNREACHED_WAIT, started, &local);
         }
         Some(Err(err)) => {
-            let has_ended = ended::after_break(&d, &local, cx.digest).await;
+            let has_ended = ended::check_after_broken_call(&d, &local, cx.digest).await;
             pass.end(End::Failed, d.clock.now());
             d.rollouts.observe(&local, KindKey(cx.call_kind), None);
             log::warn!("call {}: upstream {}: {err}", cx.request_id, cx.instance);
@@ -173,7 +173,7 @@
             return unknown(&d, &cx, StatusCode::BAD_GATEWAY, reason, started, &local);
         }
         None => {
-            local.silent(&d);
+            local.record_timeout(&d);
             pass.end(End::Failed, d.clock.now());
             d.rollouts.observe(&local, KindKey(cx.call_kind), None);
             return unknown(&d, &cx, StatusCode::GATEWAY_TIMEOUT, "deadline", started, &local);
@@ -219,8 +219,8 @@
     cx: &Context,
     res: Response<Incoming>,
     connection: Connection,
-    local: &Arc<Local>,
-    pass: Pass,
+    local: &Arc<LocalUpstream>,
+    pass: SlotPermit,
     started: Instant,
 ) -> Response<Body> {
     let (mut head, incoming) = res.into_parts();
@@ -275,7 +275,7 @@
         }
         Err(err) => {
             log::debug!("call {}: upstream {}: {err}", cx.request_id, cx.instance);
-            let has_ended = ended::after_break(d, local, cx.digest).await;
+            let has_ended = ended::check_after_broken_call(d, local, cx.digest).await;
             let reason = if has_ended { call::UPSTREAM_ENDED } else { "truncated" };
             return unknown(d, cx, StatusCode::BAD_GATEWAY, reason, started, local);
         }
@@ -293,11 +293,11 @@
 
 /// Tells the entry daemon how the upstream is. What this daemon saw of all its calls is
 /// worth more than what an entry daemon learns from the few that it sends there.
-fn tell_upstream(d: &Daemon, local: &Arc<Local>, head: &mut HeaderMap) {
+fn tell_upstream(d: &Daemon, local: &Arc<LocalUpstream>, head: &mut HeaderMap) {
     let load = local.load();
     headers::set(head, call::LOAD, &(load.running + load.queued).to_string());
     let now = d.clock.now();
-    let accepts = local.accepts(now) * 1e3;
+    let accepts = local.acceptance_rate(now) * 1e3;
     headers::set(head, call::ACCEPTS, &(accepts.round() as u64).to_string());
     if let Some((limit, next)) = local.schedule_retry(now) {
         headers::set(head, call::LIMIT_THOUSANDTHS, &limit.thousandths().to_string());
@@ -327,7 +327,7 @@
     d: &Arc<Daemon>,
     cx: &Context,
     head: &cicadashift_http::hyper::http::response::Parts,
-    local: &Arc<Local>,
+    local: &Arc<LocalUpstream>,
 ) -> Option<Response<Body>> {
     if headers::text(&head.headers, d.dialect.not_run.as_str())? == call::UNKNOWN {
         return None;
@@ -337,7 +337,7 @@
         let other = d.dialect.instance.as_ref();
         let other = other.and_then(|name| headers::text(&head.headers, name.as_str()));
         log::warn!("upstream {} is another one now: {}", cx.instance, other.unwrap_or("unnamed"));
-        d.gates.misdirected(d, &cx.instance, other);
+        d.gates.handle_misdirected(d, &cx.instance, other);
         return Some(not_run(d, cx, "misdirected", UNREACHED_WAIT, now, local));
     }
     d.metrics.incr("upstream.shed");
@@ -345,7 +345,7 @@
 }
 
 /// Reads the rest of a refusal so that its connection can be used again.
-fn keep_when_whole(incoming: Incoming, connection: Connection, local: &Arc<Local>) {
+fn keep_when_whole(incoming: Incoming, connection: Connection, local: &Arc<LocalUpstream>) {
     let local = local.clone();
     exec::spawn(async move {
         if cicadashift_http::body::read(incoming, REFUSAL_BYTES).await.is_ok() {
@@ -378,7 +378,7 @@
     cx: &Context,
     refusal: Refusal,
     arrived: Instant,
-    local: Option<&Arc<Local>>,
+    local: Option<&Arc<LocalUpstream>>,
 ) -> Response<Body> {
     let reason = refusal.to_string();
     log_admit(d, cx, &reason, arrived, local);
@@ -400,7 +400,7 @@
     reason: &str,
     wait: Duration,
     started: Instant,
-    local: &Arc<Local>,
+    local: &Arc<LocalUpstream>,
 ) -> Response<Body> {
     log_admit(d, cx, reason, started, Some(local));
     let mut res = headers::not_run(reason, wait, false);
@@ -414,13 +414,19 @@
     status: StatusCode,
     reason: &str,
     started: Instant,
-    local: &Arc<Local>,
+    local: &Arc<LocalUpstream>,
 ) -> Response<Body> {
     log_admit(d, cx, reason, started, Some(local));
     headers::unknown(status, reason)
 }
 
-fn log_admit(d: &Daemon, cx: &Context, result: &str, since: Instant, local: Option<&Arc<Local>>) {
+fn log_admit(
+    d: &Daemon,
+    cx: &Context,
+    result: &str,
+    since: Instant,
+    local: Option<&Arc<LocalUpstream>>,
+) {
     let load = local.map(|local| local.load()).unwrap_or_default();
     let waited = d.clock.now().saturating_duration_since(since);
     crate::logging::ordinary(
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -5,7 +5,7 @@
 use super::work::Work;
 use super::{exit, headers};
 use crate::daemon::costs::Purpose;
-use crate::daemon::services::{Flight, Target};
+use crate::daemon::services::{AttemptGuard, Target};
 use crate::daemon::{Daemon, liveness, lock, quarantine};
 use cicadashift_core::request::choose::{LoadReport, Locality, Outcome};
 use cicadashift_core::request::gate::KindKey;
@@ -59,7 +59,7 @@
 ) -> Got {
     let started = d.clock.now();
     let demand = work.demand(started);
-    let flight = Flight::new(d, &work.service, target.choice.key, demand);
+    let flight = AttemptGuard::new(d, &work.service, target.choice.key, demand);
     let left = work.deadline.saturating_duration_since(started);
     let Some(to) = d.members.address(target.host) else {
         flight.end(Outcome::Unreached);
@@ -128,7 +128,7 @@
     work: &Work,
     target: &Target,
     res: Response<Body>,
-    flight: Flight,
+    flight: AttemptGuard,
     started: Instant,
 ) -> Got {
     let (head, body) = res.into_parts();
@@ -138,7 +138,7 @@
         CALL_HEAD + size_of(&body),
     );
     let report = report(&head.headers);
-    if d.signals.take(target.host, &target.instance, &head.headers, d.clock.now()) {
+    if d.signals.record(target.host, &target.instance, &head.headers, d.clock.now()) {
         d.services.sync(d);
     }
     let key = target.choice.key;
--- a/src/daemon/request/story.rs
+++ b/src/daemon/request/story.rs
@@ -133,7 +133,7 @@
         upstream: &target.instance,
         why,
         attempt,
-        known: target.known,
+        known: target.available,
         left_ms: left.as_millis() as u64,
         objective_ms: work.objective.saturating_duration_since(now).as_millis() as u64,
         age_ms: now.saturating_duration_since(work.first_came).as_millis() as u64,
--- a/src/daemon/rollouts/exit.rs
+++ b/src/daemon/rollouts/exit.rs
@@ -1,7 +1,7 @@
 //! What the upstreams of this host are sent and answer while a rollout stands.
 
 use super::Rollouts;
-use crate::daemon::gates::local::Local;
+use crate::daemon::gates::local::LocalUpstream;
 use crate::daemon::{Daemon, lock};
 use cicadashift_core::ids::Revision;
 use cicadashift_core::membership::record::Readiness;
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// Returns the refusal of a call that another version is to serve.
-    pub fn admit(&self, d: &Daemon, local: &Local) -> Result<(), Refusal> {
+    pub fn admit(&self, d: &Daemon, local: &LocalUpstream) -> Result<(), Refusal> {
         if !self.is_any() {
             return Ok(());
         }
@@ -66,7 +66,7 @@
 
     /// Takes in how a call ended at an upstream: the time that it took, or nothing where
     /// the upstream failed it.
-    pub fn observe(&self, local: &Local, kind: KindKey, took: Option<Duration>) {
+    pub fn observe(&self, local: &LocalUpstream, kind: KindKey, took: Option<Duration>) {
         if !self.is_any() {
             return;
         }
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -39,7 +39,7 @@
         self.picker.started(choice.key);
         let known = self.picker.info(choice.key);
         let (host, locality, instance) = (known.host, known.locality, known.instance.clone());
-        Target { choice, host, locality, instance, has_room, known: self.picker.len() }
+        Target { choice, host, locality, instance, has_room, available: self.picker.len() }
     }
 }
 
@@ -74,7 +74,7 @@
     /// Whether it has a free slot, as far as is known.
     pub has_room: bool,
     /// Upstreams of the service that take work.
-    pub known: usize,
+    pub available: usize,
 }
 
 impl Services {
@@ -115,7 +115,7 @@
     }
 
     /// Records the first attempt of a call.
-    pub fn earn(&self, d: &Daemon, name: &str) {
+    pub fn earn_retries(&self, d: &Daemon, name: &str) {
         let (allowance, now) = (allowance(d), d.clock.now());
         self.with(name, |service| service.budget.earn(allowance, now));
     }
@@ -141,7 +141,7 @@
 
     /// Chooses an upstream for a second attempt beside the first and pays for it;
     /// `None` where none has room or the budget is spent.
-    pub fn choose_spare(
+    pub fn choose_hedge(
         &self,
         name: &str,
         demand: Demand,
@@ -184,7 +184,7 @@
 }
 
 /// An attempt in progress; its end is recorded even if the caller vanishes.
-pub struct Flight {
+pub struct AttemptGuard {
     d: Arc<Daemon>,
     service: String,
     key: UpstreamKey,
@@ -192,10 +192,10 @@
     ended: bool,
 }
 
-impl Flight {
+impl AttemptGuard {
     /// Follows an attempt that [`Services::choose`] began.
-    pub fn new(d: &Arc<Daemon>, service: &str, key: UpstreamKey, demand: Demand) -> Flight {
-        Flight { d: d.clone(), service: service.to_string(), key, demand, ended: false }
+    pub fn new(d: &Arc<Daemon>, service: &str, key: UpstreamKey, demand: Demand) -> AttemptGuard {
+        AttemptGuard { d: d.clone(), service: service.to_string(), key, demand, ended: false }
     }
 
     /// Records how it ended.
@@ -212,7 +212,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if !self.ended {
             self.record(Outcome::Cancelled);
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -68,7 +68,7 @@
         "upstreams": upstreams,
         "services": services,
         "members": d.members.others().len() + 1,
-        "control_bytes": d.costs.control(),
+        "control_bytes": d.costs.control_bytes(),
         "config_age_ms": d.versions.document.confirmed_age_ms(d.clock.now()),
         "log_lines_lost": crate::logging::lost(),
         "log_lines_left_out": crate::logging::left_out(),
