--- a/src/daemon/callers.rs
+++ b/src/daemon/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that were sent away and may come back, sharded by kind of call.
+//! Callers whose call was not answered and who may come back, sharded by kind of call.
 
 use super::lock;
 use cicadashift_core::request::gate::KindKey;
@@ -8,19 +8,21 @@
 
 const SHARDS: usize = 8;
 
-/// Callers that were sent away.
+/// [`ReturningCallers`], sharded by kind of call to reduce lock contention.
 #[derive(Default)]
 pub struct ShardedReturningCallers {
     shards: [Mutex<ReturningCallers>; SHARDS],
 }
 
 impl ShardedReturningCallers {
-    /// Returns when the caller of a call first came, if it was sent away before.
+    /// Returns when the caller of a call first arrived, if an earlier call of it was not
+    /// answered; each such call is found once. `until` is how long the caller waits.
     pub fn take_first_arrival(&self, kind: KindKey, until: Instant) -> Option<Instant> {
         lock(self.shard(kind)).take_first_arrival(kind, until)
     }
 
-    /// Takes in that a call was given no answer.
+    /// Records that a call was not answered; `since` is when its caller first arrived,
+    /// `until` how long the caller waits.
     pub fn record_unanswered(&self, kind: KindKey, since: Instant, until: Instant, now: Instant) {
         lock(self.shard(kind)).record_unanswered(kind, since, until, now);
     }
--- a/src/daemon/costs.rs
+++ b/src/daemon/costs.rs
@@ -1,10 +1,8 @@
-//! What this daemon spends on being one of many: bytes that go to other daemons and
-//! come back, by purpose and by whether they leave the failure domain, and calls to
-//! the store.
+//! Counters of this daemon's traffic in the mesh: bytes exchanged with other daemons, by
+//! purpose and by whether they leave the failure domain, and calls to the store.
 //!
-//! `docs/CAPACITY.md` has the figures at several sizes. The counts go to the metrics
-//! address and, now and then, into the log, so that they can be had of a run that is
-//! over.
+//! `docs/CAPACITY.md` has the figures at several sizes. The counters are exported as metrics
+//! and logged at intervals, so that they are also available after a run has ended.
 
 use super::Daemon;
 use crate::store::StoreCall;
@@ -13,30 +11,31 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Time between two lines in the log: a handful for a run of a minute, and nothing
-/// beside the lines about calls.
-const TELL_EVERY: Duration = Duration::from_secs(10);
+/// Interval between two log lines: a handful in a run of a minute, and negligible beside
+/// the lines about calls.
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What bytes between daemons are for.
+/// Purpose of bytes that are exchanged between daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// Probes and their answers.
     Probe,
-    /// Changes of membership.
+    /// Membership updates, and suspicions of calls.
     Membership,
-    /// Words of those that follow the store.
+    /// Heartbeats of daemons that follow the store.
     Heartbeat,
-    /// Comparisons of tables.
+    /// Comparison and exchange of membership tables.
     Table,
-    /// Reports and grants of limits that the mesh keeps together.
+    /// Usage reports, grants and notices of the mesh's limits.
     Limit,
     /// Versions of the configuration.
     Version,
-    /// Everything that only the product's own interface sends.
+    /// All other control requests, most of which exist only with the project's own
+    /// interface, and objects read from the store.
     Control,
-    /// Calls of callers and upstreams.
+    /// Forwarded calls.
     Call,
-    /// Answers to them.
+    /// Answers to forwarded calls.
     Answer,
 }
 
@@ -52,7 +51,7 @@
     (Purpose::Answer, "answer"),
 ];
 
-/// Counts since the start.
+/// Byte counters since the daemon's start, for the own failure domain and for others.
 #[derive(Default)]
 pub struct Costs {
     near: [AtomicU64; PURPOSES.len()],
@@ -60,13 +59,13 @@
 }
 
 impl Costs {
-    /// Adds bytes that this daemon sent, or was sent as an answer.
-    pub fn add(&self, purpose: Purpose, far: bool, bytes: usize) {
-        let counts = if far { &self.far } else { &self.near };
+    /// Adds bytes that this daemon sent, or received as an answer.
+    pub fn add(&self, purpose: Purpose, is_far: bool, bytes: usize) {
+        let counts = if is_far { &self.far } else { &self.near };
         counts[purpose as usize].fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Returns all bytes that were not calls and their answers.
+    /// Returns the bytes of everything but calls and their answers.
     pub fn control_bytes(&self) -> u64 {
         let is_control = |purpose: &Purpose| !matches!(purpose, Purpose::Call | Purpose::Answer);
         let purposes = PURPOSES.iter().map(|(purpose, _)| *purpose).filter(is_control);
@@ -74,8 +73,13 @@
     }
 
     fn to_json(&self) -> Value {
-        let sides = |purpose: Purpose| json!([read(&self.near, purpose), read(&self.far, purpose)]);
-        PURPOSES.iter().map(|(p, name)| (name.to_string(), sides(*p))).collect::<Map<_, _>>().into()
+        let near_and_far =
+            |purpose: Purpose| json!([read(&self.near, purpose), read(&self.far, purpose)]);
+        PURPOSES
+            .iter()
+            .map(|(p, name)| (name.to_string(), near_and_far(*p)))
+            .collect::<Map<_, _>>()
+            .into()
     }
 }
 
@@ -83,16 +87,16 @@
     counts[purpose as usize].load(Ordering::Relaxed)
 }
 
-/// Tells the counts until cancelled.
+/// Publishes the counters until cancelled.
 pub async fn run(d: Arc<Daemon>) {
     loop {
-        smol::Timer::after(TELL_EVERY).await;
-        tell(&d);
+        smol::Timer::after(PUBLISH_INTERVAL).await;
+        publish(&d);
     }
 }
 
-/// Puts the counts into the metrics and the log.
-pub fn tell(d: &Daemon) {
+/// Exports the counters as metrics and logs them.
+pub fn publish(d: &Daemon) {
     for (purpose, name) in PURPOSES {
         d.metrics.gauge(&format!("mesh.bytes.{name}.near"), read(&d.costs.near, purpose));
         d.metrics.gauge(&format!("mesh.bytes.{name}.far"), read(&d.costs.far, purpose));
--- a/src/daemon/gates/end_check.rs
+++ b/src/daemon/gates/end_check.rs
@@ -1,38 +1,38 @@
-//! What is known of an upstream's end while calls at it break.
+//! Result of the check whether an upstream ended, shared by all calls to it that broke.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// What is known of an upstream's end.
+/// State of the check whether an upstream ended.
 #[derive(Default)]
 pub struct EndCheck {
-    /// Calls that broke and wait for the answer.
-    pub(super) breaking: AtomicUsize,
-    pub(super) found: smol::lock::Mutex<Found>,
+    /// Number of broken calls that wait for the result.
+    pub(super) broken_calls: AtomicUsize,
+    pub(super) last: smol::lock::Mutex<LastCheck>,
 }
 
 #[derive(Clone, Copy, Default)]
-pub(super) enum Found {
-    /// Nobody asked.
+pub(super) enum LastCheck {
+    /// The upstream was not checked.
     #[default]
-    Nothing,
-    /// It lived when it was asked, beginning at this moment.
+    NotChecked,
+    /// The upstream was alive in a check that began at this moment.
     Alive(Instant),
-    /// It ended.
+    /// The upstream ended.
     Ended,
 }
 
-/// A call that broke; counted while it waits for what is found.
-pub(super) struct Breaking<'a>(&'a AtomicUsize);
+/// Counts a broken call while it waits for the result of the check.
+pub(super) struct BrokenCallGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Breaking<'a> {
-    pub(super) fn new(count: &'a AtomicUsize) -> Breaking<'a> {
+impl<'a> BrokenCallGuard<'a> {
+    pub(super) fn new(count: &'a AtomicUsize) -> BrokenCallGuard<'a> {
         count.fetch_add(1, Ordering::Relaxed);
-        Breaking(count)
+        BrokenCallGuard(count)
     }
 }
 
-impl Drop for Breaking<'_> {
+impl Drop for BrokenCallGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/daemon/gates/ended.rs
+++ b/src/daemon/gates/ended.rs
@@ -1,17 +1,17 @@
-//! Telling an upstream that ended from an answer that was lost.
+//! Distinguishes an upstream that ended from one that lost a single answer.
 //!
-//! When an upstream ends, every call at it breaks in one moment, and nobody listens at
-//! its address until it is started again. When it loses one answer, it still takes
-//! connections. One connection after a call broke tells the two apart within
-//! milliseconds; reports would take seconds to be missed.
+//! When an upstream ends, all calls in flight to it break at the same moment, and its address
+//! refuses connections until it is started again. When it loses a single answer, it still
+//! accepts connections. A connection attempt after a call broke distinguishes the two cases
+//! within milliseconds, whereas missing reports are noticed only after seconds.
 //!
 //! # Limits
 //!
-//! An upstream whose host ends with it is not seen here, since this daemon ends too. One
-//! that ends after its answers have left leaves no call behind that could be named, and
-//! one that nothing is sent to is found to have ended by its missing reports.
+//! The end of an upstream is not detected here if its host ends with it, since this daemon
+//! then ends too. If an upstream ends after it has sent all answers, no call can be suspected
+//! of having ended it. If no calls are sent to it, its end is detected by its missing reports.
 
-use super::end_check::{Breaking, Found};
+use super::end_check::{BrokenCallGuard, LastCheck};
 use super::local::LocalUpstream;
 use crate::daemon::{Daemon, quarantine};
 use cicadashift_core::ids::CallDigest;
@@ -23,76 +23,81 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Time after which an address that still takes connections is asked once more, if no
-/// other call runs on there: the system may close the listening socket of a process that
-/// ends after its connections.
-const ASK_AGAIN: Duration = Duration::from_millis(15);
-/// Time for one connection on the own host.
-const CONNECT_TIME: Duration = Duration::from_millis(200);
+/// Delay before an address that still accepts connections is checked a second time, if no
+/// other call is in flight there: when a process ends, the system may close its listening
+/// socket after its connections.
+const RECHECK_DELAY: Duration = Duration::from_millis(15);
+/// Timeout of a connection attempt to an address of this host.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Finds out whether an upstream ended when a call at it broke; to be called before the
-/// call is taken off those at work there. The first call that finds it ended takes it
-/// away and lets all of them be suspected.
+/// Returns whether an upstream ended, after a call to it broke.
+///
+/// Must be called while the call is still counted as in flight. The first call that finds
+/// the upstream ended removes the upstream and marks all calls in flight, and those abandoned
+/// lately, as suspect.
 pub async fn check_after_broken_call(
     d: &Arc<Daemon>,
     local: &Arc<LocalUpstream>,
     call: CallDigest,
 ) -> bool {
-    let _counted = Breaking::new(&local.end_check.breaking);
-    let has_ended = find(d, local).await;
+    let _counted = BrokenCallGuard::new(&local.end_check.broken_calls);
+    let has_ended = check(d, local).await;
     if has_ended {
-        // One whose answer broke off half-way is at work no more.
+        // A call whose answer broke off half-way is no longer counted as in flight.
         quarantine::ended(d, &local.name, &[call]);
     }
     has_ended
 }
 
-/// Finds out whether an upstream ended when it could not be connected to: whoever waited
-/// for it may have left before.
+/// Returns whether an upstream ended, after a connection to it could not be made.
+///
+/// This also detects an end at which no call broke, because the callers of all calls in
+/// flight had disconnected before.
 pub async fn check_after_refused_connection(d: &Arc<Daemon>, local: &Arc<LocalUpstream>) -> bool {
-    find(d, local).await
+    check(d, local).await
 }
 
-async fn find(d: &Arc<Daemon>, local: &Arc<LocalUpstream>) -> bool {
-    let broke = d.clock.now();
-    // The first call asks, the others wait here for what it finds.
-    let mut found = local.end_check.found.lock().await;
-    match *found {
-        Found::Ended => return true,
-        // What was asked before this call broke tells nothing about it: one that lost an
-        // answer may end a moment later.
-        Found::Alive(asked) if asked >= broke => return false,
-        Found::Alive(_) | Found::Nothing => {}
+async fn check(d: &Arc<Daemon>, local: &Arc<LocalUpstream>) -> bool {
+    let broken_at = d.clock.now();
+    // The first call does the check; the others wait here for its result.
+    let mut last = local.end_check.last.lock().await;
+    match *last {
+        LastCheck::Ended => return true,
+        // A check that began before this call broke is not conclusive: an upstream that lost
+        // an answer may end a moment later.
+        LastCheck::Alive(checked_at) if checked_at >= broken_at => return false,
+        LastCheck::Alive(_) | LastCheck::NotChecked => {}
     }
-    let asked = d.clock.now();
-    // One that leaves ends by its own will, whatever is at it.
-    if local.leaves() || !serves_no_more(local).await {
-        *found = Found::Alive(asked);
+    let checked_at = d.clock.now();
+    // An upstream that is leaving ends by itself, not because of its calls.
+    if local.is_leaving() || !has_stopped_listening(local).await {
+        *last = LastCheck::Alive(checked_at);
         return false;
     }
-    *found = Found::Ended;
-    let mut calls = local.at_work();
-    calls.extend(local.given_up(d.clock.now()));
+    *last = LastCheck::Ended;
+    let mut calls = local.in_flight();
+    calls.extend(local.abandoned(d.clock.now()));
     let names: Vec<String> = calls.iter().map(|call| call.to_string()).collect();
     d.metrics.incr("upstream.ended");
     log::warn!("upstream {} ended, {} calls at it: {}", local.name, names.len(), names.join(" "));
     quarantine::ended(d, &local.name, &calls);
-    d.gates.lose(d, &local.name);
+    d.gates.remove_lost(d, &local.name);
     true
 }
 
-/// Returns whether an upstream ended, a moment after a call at it broke.
-async fn serves_no_more(local: &LocalUpstream) -> bool {
-    if is_refused(local.address).await {
+/// Returns whether an upstream stopped listening, after a call to it broke.
+async fn has_stopped_listening(local: &LocalUpstream) -> bool {
+    if refuses_connections(local.address).await {
         return true;
     }
-    smol::Timer::after(ASK_AGAIN).await;
-    let runs_on = local.at_work().len() > local.end_check.breaking.load(Ordering::Relaxed);
-    !runs_on && is_refused(local.address).await
+    smol::Timer::after(RECHECK_DELAY).await;
+    let has_other_calls =
+        local.in_flight().len() > local.end_check.broken_calls.load(Ordering::Relaxed);
+    !has_other_calls && refuses_connections(local.address).await
 }
 
-/// Returns whether nobody listens at an address of this host.
-async fn is_refused(address: SocketAddr) -> bool {
-    let connected = exec::timeout(CONNECT_TIME, Async::<TcpStream>::connect(address)).await;
+/// Returns whether no process listens on an address of this host.
+async fn refuses_connections(address: SocketAddr) -> bool {
+    let connected = exec::timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await;
     matches!(connected, Some(Err(err)) if err.kind() == ErrorKind::ConnectionRefused)
 }
--- a/src/daemon/gates/local.rs
+++ b/src/daemon/gates/local.rs
@@ -1,4 +1,4 @@
-//! One upstream on this host: what it says of itself, who is at work there and who waits.
+//! One upstream on this host: its reports, its gate, and the calls in flight and queued.
 
 use super::end_check::EndCheck;
 use crate::clock::Clock;
@@ -18,118 +18,120 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time without a report after which an upstream is taken for gone.
-const REPORT_LIFE: Duration = Duration::from_secs(5);
-/// Time in which reports of an earlier start of an instance may still arrive: a cut that
-/// heals delivers what it held up some seconds late. One that claims an older start after
-/// that is believed, since its host's clock may have been set back between two starts.
-pub(super) const LATE_REPORT: Duration = Duration::from_secs(5);
-/// Failures to connect in a row after which an upstream is taken for gone.
-const UNREACHED_MOST: u32 = 3;
-
-/// How long a call that was given up may still be at an upstream: as long as most
+/// Time without a report after which an upstream without running calls is considered gone.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time in which reports of an earlier incarnation of an instance may still arrive: when a
+/// partition ends, reports that were held up are delivered some seconds late. After this
+/// time a report with an older start time is accepted, since the host's clock may have been
+/// set back between two starts.
+pub(super) const LATE_REPORT_WINDOW: Duration = Duration::from_secs(5);
+/// Consecutive connection failures after which an upstream is considered gone.
+const MAX_CONNECT_FAILURES: u32 = 3;
+
+/// Time for which an abandoned call may still be running at the upstream: as long as most
 /// deadlines.
-const GIVEN_UP_FOR: Duration = Duration::from_secs(3);
-/// Most such calls remembered; more than an upstream has slots for.
-const GIVEN_UP_KEPT: usize = 64;
+const ABANDONED_TTL: Duration = Duration::from_secs(3);
+/// Maximum number of abandoned calls remembered; more than an upstream has slots.
+const MAX_ABANDONED: usize = 64;
 
 /// One upstream on this host.
 pub struct LocalUpstream {
-    /// Its name in the mesh, which no other start of the instance has.
+    /// Name in the mesh, unique to this incarnation of the instance.
     pub name: String,
-    /// The instance's own name.
+    /// Name of the instance, the same for all its incarnations.
     pub instance: String,
-    /// Kept connections to it, never more than it takes.
+    /// Idle connections to the upstream, at most as many as it has slots.
     pub pool: Pool,
-    /// Where it serves.
+    /// Address on which the upstream serves calls.
     pub address: SocketAddr,
-    /// Whether it ended, once calls at it broke.
+    /// Check whether the upstream ended, done when calls to it break.
     pub end_check: EndCheck,
     state: Mutex<LocalState>,
 }
 
 struct LocalState {
     gate: Gate,
-    announced: Announcement,
-    reported: Instant,
-    unreached: u32,
-    /// Whether it said that it leaves, or was replaced.
-    leaves: bool,
-    /// Whether its answers say that it leaves.
+    announcement: Announcement,
+    last_report: Instant,
+    connect_failures: u32,
+    /// Whether the upstream is leaving or was replaced.
+    is_leaving: bool,
+    /// Whether the upstream signalled in an answer that it is leaving.
     signalled_leaving: bool,
-    /// What is at the upstream now.
-    at_work: HashMap<Ticket, CallDigest>,
-    /// What was sent and given up lately, and may be at the upstream still.
-    given_up: VecDeque<(Instant, CallDigest)>,
-    waiting: HashMap<Ticket, Sender<Result<(), Refusal>>>,
+    /// Calls in flight to the upstream.
+    in_flight: HashMap<Ticket, CallDigest>,
+    /// Calls abandoned lately, which the upstream may still be running.
+    abandoned: VecDeque<(Instant, CallDigest)>,
+    waiters: HashMap<Ticket, Sender<Result<(), Refusal>>>,
 }
 
 /// Load of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Calls at the upstream.
+    /// Calls running at the upstream.
     pub running: usize,
-    /// Calls waiting here.
+    /// Calls in the queue of its gate.
     pub queued: usize,
-    /// Calls that may run at once now.
+    /// Calls that may run at the same time.
     pub limit: usize,
-    /// Mean time at the upstream.
+    /// Mean service time at the upstream.
     pub mean: Duration,
 }
 
 impl LocalUpstream {
-    pub(super) fn new(announced: Announcement, now: Instant) -> LocalUpstream {
-        let mut gate = Gate::new(u32::from(announced.slots));
-        if announced.readiness == Readiness::Draining {
-            let _nobody_waits = gate.drain();
+    pub(super) fn new(announcement: Announcement, now: Instant) -> LocalUpstream {
+        let mut gate = Gate::new(u32::from(announcement.slots));
+        if announcement.readiness == Readiness::Draining {
+            let _no_waiters = gate.drain();
         }
-        let connections = usize::from(announced.slots);
-        let address = announced.address;
-        let instance = announced.instance.clone();
-        let name = match announced.start {
+        let connections = usize::from(announcement.slots);
+        let address = announcement.address;
+        let instance = announcement.instance.clone();
+        let name = match announcement.start {
             0 => instance.clone(),
             start => format!("{instance}@{start}"),
         };
         let state = LocalState {
             gate,
-            leaves: announced.readiness == Readiness::Draining,
+            is_leaving: announcement.readiness == Readiness::Draining,
             signalled_leaving: false,
-            announced,
-            reported: now,
-            unreached: 0,
-            at_work: HashMap::new(),
-            given_up: VecDeque::new(),
-            waiting: HashMap::new(),
+            announcement,
+            last_report: now,
+            connect_failures: 0,
+            in_flight: HashMap::new(),
+            abandoned: VecDeque::new(),
+            waiters: HashMap::new(),
         };
         let pool = Pool::new(connections);
         let state = Mutex::new(state);
         LocalUpstream { name, instance, pool, address, end_check: EndCheck::default(), state }
     }
 
-    /// Returns when it started, zero where that is not told.
+    /// Returns the start time of this incarnation, or zero if it is unknown.
     pub fn start(&self) -> u64 {
-        lock(&self.state).announced.start
+        lock(&self.state).announcement.start
     }
 
-    /// Returns whether a report may be of this start.
-    pub(super) fn is_start(&self, start: u64) -> bool {
+    /// Returns whether a report with this start time may come from this incarnation; zero
+    /// matches any.
+    pub(super) fn matches_start(&self, start: u64) -> bool {
         let own = self.start();
         own == start || own == 0 || start == 0
     }
 
-    /// Returns whether a report is of an earlier start and comes late: this one has
-    /// reported itself since.
-    pub(super) fn is_later_start_than(&self, start: u64, now: Instant) -> bool {
-        let reported = lock(&self.state).reported;
-        let is_live = now.saturating_duration_since(reported) < LATE_REPORT;
-        start != 0 && start < self.start() && is_live
+    /// Returns whether a report with this start time comes late from an earlier incarnation:
+    /// this incarnation has sent a report lately.
+    pub(super) fn is_newer_than(&self, start: u64, now: Instant) -> bool {
+        let last_report = lock(&self.state).last_report;
+        let has_reported_lately = now.saturating_duration_since(last_report) < LATE_REPORT_WINDOW;
+        start != 0 && start < self.start() && has_reported_lately
     }
 
-    /// Decides about a call, waiting in the queue if need be.
+    /// Admits a call, which waits in the queue if necessary.
     ///
     /// # Errors
     ///
-    /// Returns why the call did not run.
+    /// Returns the reason for which the call did not run.
     pub async fn admit(
         self: &Arc<Self>,
         arrival: Arrival,
@@ -143,18 +145,19 @@
                 Admission::Refuse(refusal) => return Err(refusal),
                 Admission::Wait(ticket) => {
                     let (tx, rx) = smol::channel::bounded(1);
-                    state.waiting.insert(ticket, tx);
+                    state.waiters.insert(ticket, tx);
                     (ticket, rx)
                 }
             }
         };
         let clock = clock.clone();
-        let waiter = Waiter { local: self.clone(), ticket, rx, clock, done: false };
-        let left = arrival.deadline.saturating_duration_since(now);
-        exec::timeout(left, waiter.wait()).await.unwrap_or(Err(Refusal::TooLate))
+        let waiter = Waiter { local: self.clone(), ticket, rx, clock, is_decided: false };
+        let remaining = arrival.deadline.saturating_duration_since(now);
+        exec::timeout(remaining, waiter.wait()).await.unwrap_or(Err(Refusal::TooLate))
     }
 
-    /// Takes in what an answer says of the upstream's limit; `sent` is when its call was.
+    /// Applies the limit that an answer names, or `None` if it names none; `sent` is when the
+    /// call was sent. Returns how the limit changed, if it did.
     pub fn observe_limit(
         &self,
         limit: Option<NamedLimit>,
@@ -164,90 +167,97 @@
         let mut state = lock(&self.state);
         let change = state.gate.observe_limit(limit, sent, now)?;
         let wakes = state.gate.tick(now);
-        state.tell(wakes);
+        state.notify(wakes);
         Some(change)
     }
 
-    /// Takes over a limit that another daemon observed.
+    /// Applies a limit that another daemon observed, unless the upstream has already answered
+    /// a call through this daemon.
     pub fn adopt_limit(&self, limit: NamedLimit, now: Instant) {
         if lock(&self.state).gate.adopt_limit(limit, now) {
             let per_s = limit.per_s();
-            log::info!("upstream {} named a limit of {per_s} calls/s elsewhere", self.instance);
+            log::info!(
+                "upstream {} named a limit of {per_s} calls/s to another daemon",
+                self.instance
+            );
         }
     }
 
-    /// Returns the limit that the upstream names, and after what time a daemon that asked
-    /// is to ask again.
+    /// Returns the limit that the upstream names and the time after which the entry daemon
+    /// is to try again; `None` if the upstream names no limit.
     pub fn schedule_retry(&self, now: Instant) -> Option<(NamedLimit, Duration)> {
         let mut state = lock(&self.state);
         let limit = state.gate.named_limit()?;
         Some((limit, state.gate.schedule_retry(now)?))
     }
 
-    /// Lets in what may run now; returns how long the upstream's limit holds the next
-    /// call back. Where a slot holds it back, the end of a call lets it in.
-    fn wait_for_token(&self, now: Instant) -> Option<Duration> {
+    /// Admits queued calls that may run now; returns the time until the limit's next token,
+    /// or `None` if a token is free or there is no limit. The next call then waits for a slot
+    /// and is admitted when another call ends.
+    fn admit_and_time_to_token(&self, now: Instant) -> Option<Duration> {
         let mut state = lock(&self.state);
         let wakes = state.gate.tick(now);
-        state.tell(wakes);
+        state.notify(wakes);
         state.gate.next_token(now).filter(|wait| !wait.is_zero())
     }
 
-    /// Notes that the upstream could not be connected to.
+    /// Records that no connection to the upstream could be made.
     pub fn record_connect_failure(&self) {
-        lock(&self.state).unreached += 1;
+        lock(&self.state).connect_failures += 1;
     }
 
-    /// Returns whether it said that it leaves, or another one has its address.
-    pub fn leaves(&self) -> bool {
-        lock(&self.state).leaves
+    /// Returns whether the upstream is leaving or was replaced.
+    pub fn is_leaving(&self) -> bool {
+        lock(&self.state).is_leaving
     }
 
-    /// Returns what is at the upstream now.
-    pub fn at_work(&self) -> Vec<CallDigest> {
-        lock(&self.state).at_work.values().copied().collect()
+    /// Returns the calls in flight to the upstream.
+    pub fn in_flight(&self) -> Vec<CallDigest> {
+        lock(&self.state).in_flight.values().copied().collect()
     }
 
-    /// Returns what may be at the upstream although nobody waits for it any more.
+    /// Returns the calls that the upstream may still be running although no caller waits for
+    /// them.
     ///
-    /// Failure: a caller leaves, and the upstream ends a moment later under what it runs
-    /// on for nobody. Symptom: the call is never named, and ends one upstream each time.
-    pub fn given_up(&self, now: Instant) -> Vec<CallDigest> {
+    /// Failure: a caller disconnects, and the upstream, which still runs its call, is ended by
+    /// the call a moment later. Symptom: the call is never suspected, and ends another
+    /// upstream each time that it is sent.
+    pub fn abandoned(&self, now: Instant) -> Vec<CallDigest> {
         let state = lock(&self.state);
-        let lately = |at: &Instant| now.saturating_duration_since(*at) < GIVEN_UP_FOR;
-        state.given_up.iter().filter(|(at, _)| lately(at)).map(|(_, call)| *call).collect()
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < ABANDONED_TTL;
+        state.abandoned.iter().filter(|(at, _)| is_recent(at)).map(|(_, call)| *call).collect()
     }
 
-    /// Notes that a call was given up without a word from the upstream: its
-    /// other connections may be as silent.
+    /// Records that a call got no answer before its deadline, and closes the idle connections
+    /// to the upstream, which may be just as unresponsive.
     pub fn record_timeout(&self, d: &Daemon) {
         d.metrics.incr("upstream.silent");
         self.pool.forget(self.address);
     }
 
-    /// Returns its record for others.
+    /// Returns the entry of the upstream in this host's membership record.
     pub fn endpoint(&self) -> Endpoint {
         let state = lock(&self.state);
         Endpoint {
             instance: self.name.clone(),
-            service: state.announced.service.clone(),
-            version: state.announced.version.clone(),
-            slots: state.announced.slots,
-            readiness: state.announced.readiness,
+            service: state.announcement.service.clone(),
+            version: state.announcement.version.clone(),
+            slots: state.announcement.slots,
+            readiness: state.announcement.readiness,
         }
     }
 
-    /// Returns the mean time that a call of a kind takes there.
+    /// Returns the mean service time of a kind of call.
     pub fn service_time(&self, kind: KindKey) -> Duration {
         lock(&self.state).gate.service_time(kind)
     }
 
-    /// Returns the share of the calls sent to it that it takes.
+    /// Returns the fraction of the calls sent to the upstream that it accepts.
     pub fn acceptance_rate(&self, now: Instant) -> f64 {
         lock(&self.state).gate.acceptance_rate(now)
     }
 
-    /// Returns its load.
+    /// Returns the current load.
     pub fn load(&self) -> Load {
         let state = lock(&self.state);
         Load {
@@ -258,161 +268,169 @@
         }
     }
 
-    /// Takes in a further announcement; returns whether others must hear of it.
-    pub(super) fn renew(&self, announced: Announcement, now: Instant) -> bool {
+    /// Applies a further announcement; returns whether the membership record changed.
+    pub(super) fn update(&self, announcement: Announcement, now: Instant) -> bool {
         let mut state = lock(&self.state);
         // Failure: a report is held up on its way and arrives after a newer one.
-        // Symptom: an upstream that leaves is taken for ready again.
-        if announced.sequence < state.announced.sequence {
+        // Symptom: an upstream that is leaving is considered ready again.
+        if announcement.sequence < state.announcement.sequence {
             return false;
         }
-        state.reported = now;
-        state.gate.set_slots(u32::from(announced.slots));
-        let readiness = announced.readiness;
-        let slots_changed = state.announced.slots != announced.slots;
-        let version_changed = state.announced.version != announced.version;
-        let was = state.announced.readiness;
-        let start = if announced.start == 0 { state.announced.start } else { announced.start };
-        state.announced = Announcement { readiness: was, start, ..announced };
-        state.take_readiness(readiness) || slots_changed || version_changed
-    }
-
+        state.last_report = now;
+        state.gate.set_slots(u32::from(announcement.slots));
+        let readiness = announcement.readiness;
+        let slots_changed = state.announcement.slots != announcement.slots;
+        let version_changed = state.announcement.version != announcement.version;
+        let previous = state.announcement.readiness;
+        let start =
+            if announcement.start == 0 { state.announcement.start } else { announcement.start };
+        state.announcement = Announcement { readiness: previous, start, ..announcement };
+        state.set_readiness(readiness) || slots_changed || version_changed
+    }
+
+    /// Applies a report of the readiness; returns whether the membership record changed.
     pub(super) fn report(&self, readiness: Readiness, now: Instant) -> bool {
         let mut state = lock(&self.state);
-        state.reported = now;
-        state.take_readiness(readiness)
+        state.last_report = now;
+        state.set_readiness(readiness)
     }
 
-    /// Takes in that it said in an answer that it leaves; returns whether others must hear
-    /// of it.
-    pub(super) fn leave(&self) -> bool {
+    /// Records that the upstream signalled in an answer that it is leaving; returns whether
+    /// the membership record changed.
+    pub(super) fn record_leaving_signal(&self) -> bool {
         let mut state = lock(&self.state);
         state.signalled_leaving = true;
-        state.take_readiness(Readiness::Draining)
+        state.set_readiness(Readiness::Draining)
     }
 
-    /// Returns whether its answers say that it leaves.
+    /// Returns whether the upstream signalled in an answer that it is leaving.
     pub fn signalled_leaving(&self) -> bool {
         lock(&self.state).signalled_leaving
     }
 
+    /// Stops admission and refuses all queued calls.
     pub(super) fn drain(&self) {
         let mut state = lock(&self.state);
-        state.leaves = true;
+        state.is_leaving = true;
         let wakes = state.gate.drain();
-        state.tell(wakes);
+        state.notify(wakes);
     }
 
-    /// Does what is due; returns whether the upstream is to be taken for gone.
+    /// Updates the queue; returns whether the upstream is considered gone.
     pub(super) fn tick(&self, now: Instant) -> bool {
         let mut state = lock(&self.state);
         let wakes = state.gate.tick(now);
-        state.tell(wakes);
-        let silent = now.saturating_duration_since(state.reported) >= REPORT_LIFE;
-        state.unreached >= UNREACHED_MOST || (silent && state.gate.running() == 0)
+        state.notify(wakes);
+        let is_silent = now.saturating_duration_since(state.last_report) >= REPORT_TIMEOUT;
+        state.connect_failures >= MAX_CONNECT_FAILURES || (is_silent && state.gate.running() == 0)
     }
 
     fn ended(&self, ticket: Ticket, end: End, now: Instant) {
         let mut state = lock(&self.state);
         if matches!(end, End::Answered(_)) {
-            state.unreached = 0;
+            state.connect_failures = 0;
         }
-        let call = state.at_work.remove(&ticket);
+        let call = state.in_flight.remove(&ticket);
         if let (Some(call), End::Failed) = (call, end) {
-            state.given_up.push_back((now, call));
-            let more = state.given_up.len().saturating_sub(GIVEN_UP_KEPT);
-            state.given_up.drain(..more);
+            state.abandoned.push_back((now, call));
+            let excess = state.abandoned.len().saturating_sub(MAX_ABANDONED);
+            state.abandoned.drain(..excess);
         }
         let wakes = state.gate.ended(ticket, end, now);
-        state.tell(wakes);
+        state.notify(wakes);
     }
 
     fn cancel(&self, ticket: Ticket) {
         let mut state = lock(&self.state);
         state.gate.cancel(ticket);
-        state.waiting.remove(&ticket);
+        state.waiters.remove(&ticket);
     }
 }
 
 impl LocalState {
-    fn take_readiness(&mut self, readiness: Readiness) -> bool {
-        let was = self.announced.readiness;
-        // A drain is final for an instance: one that is claimed over afterwards
-        // is a late or lying report. It must announce itself anew.
-        if was == readiness || was == Readiness::Draining {
+    fn set_readiness(&mut self, readiness: Readiness) -> bool {
+        let previous = self.announcement.readiness;
+        // Draining is final for an incarnation: a report that claims otherwise afterwards is
+        // late or wrong. The instance has to be announced again.
+        if previous == readiness || previous == Readiness::Draining {
             return false;
         }
-        self.announced.readiness = readiness;
+        self.announcement.readiness = readiness;
         if readiness == Readiness::Draining {
-            self.leaves = true;
-            log::info!("upstream {} leaves", self.announced.instance);
+            self.is_leaving = true;
+            log::info!("upstream {} leaves", self.announcement.instance);
             let wakes = self.gate.drain();
-            self.tell(wakes);
+            self.notify(wakes);
         }
         true
     }
 
-    fn tell(&mut self, wakes: Vec<Wake>) {
+    /// Sends the gate's decisions to the queued calls.
+    fn notify(&mut self, wakes: Vec<Wake>) {
         for wake in wakes {
-            let (ticket, news) = match wake {
+            let (ticket, decision) = match wake {
                 Wake::Run(ticket) => (ticket, Ok(())),
                 Wake::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            if let Some(tx) = self.waiting.remove(&ticket) {
-                let _room_for_one = tx.try_send(news);
+            if let Some(tx) = self.waiters.remove(&ticket) {
+                let _room_for_one = tx.try_send(decision);
             }
         }
     }
 }
 
-/// A call in the queue; leaves it when its caller does.
+/// A call in the queue. Dropping it, such as when the caller disconnects, removes the call
+/// from the queue.
 struct Waiter {
     local: Arc<LocalUpstream>,
     ticket: Ticket,
     rx: Receiver<Result<(), Refusal>>,
     clock: Arc<dyn Clock>,
-    done: bool,
+    is_decided: bool,
 }
 
 impl Waiter {
     async fn wait(mut self) -> Result<SlotPermit, Refusal> {
-        let news = loop {
-            if let Some(news) = self.news_or_next_token().await {
-                break news;
+        let decision = loop {
+            if let Some(decision) = self.decision_or_next_token().await {
+                break decision;
             }
         };
-        self.done = true;
-        news.map(|()| SlotPermit::new(&self.local, self.ticket))
+        self.is_decided = true;
+        decision.map(|()| SlotPermit::new(&self.local, self.ticket))
     }
 }
 
 impl Waiter {
-    /// Returns what was decided, or `None` when the upstream's limit may let a call through.
-    async fn news_or_next_token(&self) -> Option<Result<(), Refusal>> {
-        let news = async { Some(self.rx.recv().await.unwrap_or(Err(Refusal::Gone))) };
-        let Some(wait) = self.local.wait_for_token(self.clock.now()) else { return news.await };
+    /// Returns the gate's decision, or `None` when the limit's next token is due.
+    async fn decision_or_next_token(&self) -> Option<Result<(), Refusal>> {
+        let decision = async { Some(self.rx.recv().await.unwrap_or(Err(Refusal::Gone))) };
+        let Some(wait) = self.local.admit_and_time_to_token(self.clock.now()) else {
+            return decision.await;
+        };
         let token = async {
             smol::Timer::after(wait).await;
             None
         };
-        smol::future::or(news, token).await
+        smol::future::or(decision, token).await
     }
 }
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        if self.done {
+        if self.is_decided {
             return;
         }
         self.local.cancel(self.ticket);
-        // The gate may have let it in a moment ago: the slot is given back.
+        // The gate may have admitted the call a moment ago; the slot is then given back.
         if matches!(self.rx.try_recv(), Ok(Ok(()))) {
             drop(SlotPermit::new(&self.local, self.ticket));
         }
     }
 }
 
-/// The right to send one call to an upstream; gives its slot back when dropped.
+/// Permit to send one call to an upstream. Dropping it gives the slot back and records the
+/// call as failed.
 pub struct SlotPermit {
     local: Arc<LocalUpstream>,
     ticket: Ticket,
@@ -424,9 +442,9 @@
         SlotPermit { local: local.clone(), ticket, ended: false }
     }
 
-    /// Records what is about to be sent.
+    /// Records the call as in flight, just before it is sent.
     pub fn begin(&self, call: CallDigest) {
-        lock(&self.local.state).at_work.insert(self.ticket, call);
+        lock(&self.local.state).in_flight.insert(self.ticket, call);
     }
 
     /// Records how the call ended.
--- a/src/daemon/gates/mod.rs
+++ b/src/daemon/gates/mod.rs
@@ -1,5 +1,5 @@
-//! Upstreams on this host: which there are ([`Gates`]), admission to each ([`local`]),
-//! and whether one ended ([`ended`]).
+//! Upstreams on this host: the set of them ([`Gates`]), admission to each ([`local`]), and
+//! the check whether one ended ([`ended`]).
 
 mod end_check;
 pub mod ended;
@@ -8,18 +8,18 @@
 use super::{Daemon, lock};
 use cicadashift_core::membership::record::{Endpoint, Readiness};
 use cicadashift_edge::interface::Announcement;
-use local::{LATE_REPORT, Load, LocalUpstream};
+use local::{LATE_REPORT_WINDOW, Load, LocalUpstream};
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time between two looks at reports.
-const TICK: Duration = Duration::from_millis(250);
-/// Instances that ended, remembered so that a late report does not bring one
-/// back. One host has one upstream at a time; sixteen lives are hours.
-const ENDED_KEPT: usize = 16;
+/// Interval between two checks for missing reports.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of ended instances remembered, so that a late report does not bring one
+/// back. A host has one upstream at a time, so sixteen incarnations cover hours.
+const MAX_ENDED: usize = 16;
 
-/// Upstreams on this host by instance name.
+/// Upstreams on this host.
 #[derive(Default)]
 pub struct Gates {
     inner: Mutex<Inner>,
@@ -27,70 +27,73 @@
 
 #[derive(Default)]
 struct Inner {
+    /// Upstreams by name in the mesh.
     by_name: HashMap<String, Arc<LocalUpstream>>,
-    /// Instances that left or whose address another one has now, newest last.
-    ended: VecDeque<Ended>,
+    /// Instances that left or were replaced, newest last.
+    ended: VecDeque<EndedInstance>,
 }
 
-struct Ended {
+struct EndedInstance {
     instance: String,
     start: u64,
     at: Instant,
 }
 
 impl Gates {
-    /// Makes a set without upstreams.
+    /// Creates an empty set.
     pub fn new() -> Gates {
         Gates::default()
     }
 
-    /// Takes in an announcement and tells the mesh.
-    pub fn announce(&self, d: &Daemon, announced: Announcement) {
+    /// Applies an announcement and publishes the change to the mesh.
+    pub fn announce(&self, d: &Daemon, announcement: Announcement) {
         let now = d.clock.now();
-        let (news, replaced) = lock(&self.inner).announce(announced, now);
+        let (is_changed, replaced) = lock(&self.inner).announce(announcement, now);
         for local in replaced {
             local.drain();
         }
-        if news {
+        if is_changed {
             self.publish(d);
         }
     }
 
-    /// Takes in a report; `false` if the instance is not known.
+    /// Applies a report; returns `false` if the instance was not announced.
     pub fn report(&self, d: &Daemon, instance: &str, readiness: Readiness) -> bool {
-        let known = lock(&self.inner).known(instance);
-        let Some(local) = known else { return false };
-        let changed = local.report(readiness, d.clock.now());
-        if changed {
+        let found = lock(&self.inner).find_instance(instance);
+        let Some(local) = found else { return false };
+        let is_changed = local.report(readiness, d.clock.now());
+        if is_changed {
             self.publish(d);
         }
         true
     }
 
-    /// Takes an upstream away; its calls in progress end as they may.
+    /// Removes an upstream; its calls in flight are not cut off. Returns `false` if there is
+    /// no such upstream.
     ///
-    /// `start` tells which start of the instance is meant, zero whichever is known. A
-    /// farewell of an earlier one that comes late takes nothing away.
+    /// `start` is the start time of the incarnation to remove, or zero for any. A late leave
+    /// message of an earlier incarnation therefore removes nothing.
     pub fn remove(&self, d: &Daemon, instance: &str, start: u64) -> bool {
-        let removed = lock(&self.inner).end(instance, start, d.clock.now());
+        let removed = lock(&self.inner).end_instance(instance, start, d.clock.now());
         let Some(local) = removed else { return false };
         local.drain();
         self.publish(d);
         true
     }
 
-    /// Takes in that an upstream said in an answer that it leaves.
+    /// Drains an upstream that signalled in an answer that it is leaving.
     pub fn drain(&self, d: &Daemon, local: &LocalUpstream) {
-        if local.leave() {
+        if local.record_leaving_signal() {
             self.publish(d);
         }
     }
 
-    /// Takes in that an upstream said it is another instance.
+    /// Removes the upstream `name`, at whose address the instance `other` answered, so that
+    /// `other` can be announced even if it is remembered as ended.
     ///
-    /// Failure: the report of an instance that ended arrives after that of the
-    /// one which has its address now. Symptom: every call is refused as
-    /// misdirected until the next report. The one that answers is believed.
+    /// Failure: a report of an instance that ended arrives after the report of the instance
+    /// that has its address now. Symptom: every call is refused as misdirected until the next
+    /// report. The answer therefore takes precedence over the reports.
     pub fn handle_misdirected(&self, d: &Daemon, name: &str, other: Option<&str>) {
         if let Some(other) = other {
             lock(&self.inner).ended.retain(|ended| ended.instance != other);
@@ -115,6 +118,7 @@
         inner.by_name.iter().map(|(name, local)| (name.clone(), local.clone())).collect()
     }
 
+    /// Updates the upstreams in this host's membership record.
     fn publish(&self, d: &Daemon) {
         let mut endpoints: Vec<_> =
             self.locals().iter().map(|(_, local)| local.endpoint()).collect();
@@ -128,13 +132,13 @@
             local.pool.sweep();
             if local.tick(now) {
                 log::warn!("upstream {name} is taken for gone: no reports and no connection");
-                self.lose(d, &name);
+                self.remove_lost(d, &name);
             }
         }
     }
 
-    /// Takes away an upstream that went without a word.
-    pub fn lose(&self, d: &Daemon, name: &str) {
+    /// Removes an upstream that ended without a report.
+    pub fn remove_lost(&self, d: &Daemon, name: &str) {
         d.metrics.incr("upstream.lost");
         let removed = lock(&self.inner).by_name.remove(name);
         removed.iter().for_each(|local| local.drain());
@@ -143,31 +147,33 @@
 }
 
 impl Inner {
-    /// Returns whether there is news for the mesh, and which upstreams the
-    /// announced one replaces.
+    /// Applies an announcement; returns whether the membership record changed, and the
+    /// upstreams that the announced one replaces.
     fn announce(
         &mut self,
-        announced: Announcement,
+        announcement: Announcement,
         now: Instant,
     ) -> (bool, Vec<Arc<LocalUpstream>>) {
-        let (name, start) = (announced.instance.clone(), announced.start);
+        let (name, start) = (announcement.instance.clone(), announcement.start);
         if self.has_ended(&name, start, now) {
-            log::info!("upstream {name} has ended; its late report is not taken in");
+            log::info!("upstream {name} has ended; late report ignored");
             return (false, Vec::new());
         }
-        if let Some(local) = self.known(&name) {
-            if local.is_later_start_than(start, now) {
-                log::info!("upstream {name} started anew; a late report is not taken in");
+        if let Some(local) = self.find_instance(&name) {
+            if local.is_newer_than(start, now) {
+                log::info!(
+                    "upstream {name} started again; late report of an earlier incarnation ignored"
+                );
                 return (false, Vec::new());
             }
-            if local.address == announced.address && local.is_start(start) {
-                return (local.renew(announced, now), Vec::new());
+            if local.address == announcement.address && local.matches_start(start) {
+                return (local.update(announcement, now), Vec::new());
             }
         }
-        // An address has one instance, and an instance runs once: a new one means that
-        // the old ended.
+        // An address belongs to one instance, and an instance runs only once at a time: a new
+        // announcement means that the old upstream ended.
         let is_replaced = |local: &Arc<LocalUpstream>| {
-            local.address == announced.address || local.instance == name
+            local.address == announcement.address || local.instance == name
         };
         let replaced: Vec<(String, u64)> = self
             .by_name
@@ -175,48 +181,55 @@
             .filter(|local| is_replaced(local))
             .map(|local| (local.instance.clone(), local.start()))
             .collect();
-        let end = |(instance, start): &(String, u64)| self.end(instance, *start, now);
-        let gone: Vec<_> = replaced.iter().filter_map(end).collect();
-        // It may only have moved: what is announced has not ended.
+        let end = |(instance, start): &(String, u64)| self.end_instance(instance, *start, now);
+        let removed: Vec<_> = replaced.iter().filter_map(end).collect();
+        // The instance may only have changed its address, in which case it has not ended.
         self.ended.retain(|ended| ended.instance != name || ended.start != start);
-        log::info!("upstream {name} of {} announced, started at {start}", announced.service);
-        let local = Arc::new(LocalUpstream::new(announced, now));
+        log::info!("upstream {name} of {} announced, started at {start}", announcement.service);
+        let local = Arc::new(LocalUpstream::new(announcement, now));
         self.by_name.insert(local.name.clone(), local);
-        (true, gone)
+        (true, removed)
     }
 
-    /// Returns the start of an instance that is known here.
-    fn known(&self, instance: &str) -> Option<Arc<LocalUpstream>> {
+    /// Returns the upstream of an instance, if it is on this host.
+    fn find_instance(&self, instance: &str) -> Option<Arc<LocalUpstream>> {
         self.by_name.values().find(|local| local.instance == instance).cloned()
     }
 
-    /// Returns whether a report is of a start that has ended.
+    /// Returns whether a report comes from an incarnation that has ended.
     fn has_ended(&self, instance: &str, start: u64, now: Instant) -> bool {
         self.ended.iter().filter(|ended| ended.instance == instance).any(|ended| {
-            let is_late = now.saturating_duration_since(ended.at) < LATE_REPORT;
+            let is_late = now.saturating_duration_since(ended.at) < LATE_REPORT_WINDOW;
             start == ended.start || start == 0 || (start < ended.start && is_late)
         })
     }
 
-    fn end(&mut self, instance: &str, start: u64, now: Instant) -> Option<Arc<LocalUpstream>> {
-        let known = self.known(instance);
-        if known.as_ref().is_some_and(|local| !local.is_start(start)) {
+    /// Records that an incarnation ended and removes its upstream, which is returned if there
+    /// is one. Does nothing if another incarnation of the instance is on this host.
+    fn end_instance(
+        &mut self,
+        instance: &str,
+        start: u64,
+        now: Instant,
+    ) -> Option<Arc<LocalUpstream>> {
+        let found = self.find_instance(instance);
+        if found.as_ref().is_some_and(|local| !local.matches_start(start)) {
             return None;
         }
-        let start = known.as_ref().map_or(start, |local| local.start());
+        let start = found.as_ref().map_or(start, |local| local.start());
         self.ended.retain(|ended| ended.instance != instance || ended.start != start);
-        self.ended.push_back(Ended { instance: instance.to_string(), start, at: now });
-        while self.ended.len() > ENDED_KEPT {
+        self.ended.push_back(EndedInstance { instance: instance.to_string(), start, at: now });
+        while self.ended.len() > MAX_ENDED {
             self.ended.pop_front();
         }
-        self.by_name.remove(&known?.name)
+        self.by_name.remove(&found?.name)
     }
 }
 
-/// Takes upstreams that fell silent for gone, and queues up to date.
+/// Removes upstreams that stopped reporting and updates all queues, until cancelled.
 pub async fn run(d: Arc<Daemon>) {
     loop {
-        smol::Timer::after(TICK).await;
+        smol::Timer::after(TICK_INTERVAL).await;
         d.gates.tick(&d);
         d.mesh_pool.sweep();
     }
--- a/src/daemon/in_band.rs
+++ b/src/daemon/in_band.rs
@@ -1,9 +1,10 @@
-//! In-band signals: what upstreams say of themselves in their answers.
+//! In-band signals: limits and leaving that upstreams name in their answers.
 //!
-//! The exit daemon decodes them ([`Signals`]) and applies them ([`apply`]): a limit paces its
-//! gate, and an upstream that leaves is drained as by a report. Entry daemons are told in
-//! each answer and remember it ([`RememberedSignals`]), since the exit daemon may start again and
-//! forget. docs/DESIGN.md, "What an upstream says in its answers", has the reasons.
+//! The exit daemon decodes the signals ([`Signals`]) and applies them ([`apply`]): a limit
+//! paces the upstream's gate, and an upstream that is leaving is drained as if it had
+//! reported so. The exit daemon also adds the signals to each answer that it returns, and
+//! entry daemons remember them ([`RememberedSignals`]), since the exit daemon loses them when
+//! it restarts. docs/DESIGN.md, "What an upstream says in its answers", has the reasons.
 
 use super::gates::local::LocalUpstream;
 use super::request::headers;
@@ -16,17 +17,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time after which what an upstream said is forgotten by an entry daemon that heard
-/// nothing of it since. Upstreams that leave end within seconds.
+/// Time without an answer from an upstream after which an entry daemon forgets its signals.
+/// Upstreams that leave end within seconds.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
-/// Separates an instance's id from its start in its name in the mesh.
+/// Separates the instance id from the start time in an upstream's name in the mesh.
 const START_SEPARATOR: char = '@';
 
 /// Signals of one answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Signals {
     limit: LimitSignal,
-    leaves: bool,
+    is_leaving: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -37,23 +38,25 @@
 }
 
 impl Signals {
-    /// Decodes an upstream's answer.
+    /// Decodes the signals in the headers of an upstream's answer. Of several readable
+    /// limits the lowest one counts.
     pub fn of(d: &Daemon, head: &HeaderMap) -> Signals {
-        let named: Vec<_> = head.get_all(&d.dialect.limit).iter().collect();
-        let readable = named.iter().filter_map(|value| NamedLimit::parse(value.to_str().ok()?));
+        let values: Vec<_> = head.get_all(&d.dialect.limit).iter().collect();
+        let readable = values.iter().filter_map(|value| NamedLimit::parse(value.to_str().ok()?));
         let limit = match readable.min_by(|a, b| a.per_s().total_cmp(&b.per_s())) {
             Some(lowest) => LimitSignal::Named(lowest),
-            None if named.is_empty() => LimitSignal::None,
+            None if values.is_empty() => LimitSignal::None,
             None => LimitSignal::Unreadable,
         };
-        let leaves = head.get(&d.dialect.leaving).is_some_and(|value| value == "1");
-        Signals { limit, leaves }
+        let is_leaving = head.get(&d.dialect.leaving).is_some_and(|value| value == "1");
+        Signals { limit, is_leaving }
     }
 }
 
-/// Takes in what an answer of an upstream on this host says; `sent` is when its call was.
+/// Applies the signals in an answer of an upstream on this host; `sent` is when the call
+/// was sent.
 pub fn apply(d: &Daemon, local: &Arc<LocalUpstream>, signals: Signals, sent: Instant) {
-    if signals.leaves && !local.signalled_leaving() {
+    if signals.is_leaving && !local.signalled_leaving() {
         d.metrics.incr("upstream.leaving_signalled");
         log::info!("upstream {} leaves, as its answers say", local.instance);
         d.gates.drain(d, local);
@@ -79,7 +82,8 @@
     }
 }
 
-/// What upstreams said in answers that passed here, by host and instance.
+/// Signals of upstreams in the answers that this entry daemon received, by host and
+/// instance.
 #[derive(Default)]
 pub struct RememberedSignals {
     rows: Mutex<HashMap<(HostKey, String), Row>>,
@@ -87,66 +91,70 @@
 
 #[derive(Clone, Debug)]
 struct Row {
-    /// The start that said it; `None` where its daemon did not know.
+    /// Start time of the incarnation that sent the signals; `None` if its daemon did not
+    /// know it.
     start: Option<u64>,
     limit: Option<NamedLimit>,
-    leaves: bool,
-    at: Instant,
+    is_leaving: bool,
+    received: Instant,
 }
 
 impl RememberedSignals {
-    /// Takes in what the exit daemon tells of an upstream beside an answer; returns
-    /// whether it is news that the upstream leaves.
+    /// Records the signals that the exit daemon added to an answer; returns whether this is
+    /// the first signal that the upstream is leaving.
     pub fn record(&self, host: HostKey, name: &str, head: &HeaderMap, now: Instant) -> bool {
         let limit = headers::number(head, call::LIMIT_THOUSANDTHS);
         let limit = limit.map(|number| NamedLimit::from_thousandths(number as u32));
         let leaving = headers::number(head, call::LEAVING_START);
-        let leaves = leaving.is_some();
-        let (instance, start) = split(name);
+        let is_leaving = leaving.is_some();
+        let (instance, start) = split_name(name);
         let start = start.or(leaving.filter(|start| *start != 0));
         let mut rows = lock(&self.rows);
         let key = (host, instance.to_string());
-        if limit.is_none() && !leaves && !rows.contains_key(&key) {
+        if limit.is_none() && !is_leaving && !rows.contains_key(&key) {
             return false;
         }
-        rows.retain(|_, row| now.saturating_duration_since(row.at) < FORGET_AFTER);
-        let left = rows.get(&key).is_some_and(|row| row.leaves && row.is_start(start));
-        let leaves = leaves || left;
-        if limit.is_none() && !leaves {
+        rows.retain(|_, row| now.saturating_duration_since(row.received) < FORGET_AFTER);
+        let was_leaving =
+            rows.get(&key).is_some_and(|row| row.is_leaving && row.matches_start(start));
+        let is_leaving = is_leaving || was_leaving;
+        if limit.is_none() && !is_leaving {
             rows.remove(&key);
             return false;
         }
-        rows.insert(key, Row { start, limit, leaves, at: now });
-        leaves && !left
+        rows.insert(key, Row { start, limit, is_leaving, received: now });
+        is_leaving && !was_leaving
     }
 
-    /// Returns whether an upstream said that it leaves.
+    /// Returns whether an upstream signalled that it is leaving.
     ///
-    /// Failure: the daemon beside an upstream starts again and the upstream reports itself
-    /// as ready. Symptom: it gets new calls from daemons that have passed on its signal.
-    pub fn has_left(&self, host: HostKey, name: &str) -> bool {
-        self.row(host, name).is_some_and(|row| row.leaves)
+    /// Failure: the daemon beside an upstream restarts and the upstream reports itself as
+    /// ready. Symptom: the upstream gets new calls from daemons that have already passed on
+    /// its leaving signal.
+    pub fn is_leaving(&self, host: HostKey, name: &str) -> bool {
+        self.row(host, name).is_some_and(|row| row.is_leaving)
     }
 
-    /// Returns the limit that an upstream last named.
+    /// Returns the limit that an upstream named last, if any.
     pub fn limit(&self, host: HostKey, name: &str) -> Option<NamedLimit> {
         self.row(host, name)?.limit
     }
 
     fn row(&self, host: HostKey, name: &str) -> Option<Row> {
-        let (instance, start) = split(name);
+        let (instance, start) = split_name(name);
         let rows = lock(&self.rows);
         if rows.is_empty() {
             return None;
         }
         let row = rows.get(&(host, instance.to_string()))?;
-        row.is_start(start).then(|| row.clone())
+        row.matches_start(start).then(|| row.clone())
     }
 }
 
 impl Row {
-    /// Returns whether it may be of a start.
-    fn is_start(&self, start: Option<u64>) -> bool {
+    /// Returns whether the row may belong to the incarnation with this start time; an
+    /// unknown start time matches any.
+    fn matches_start(&self, start: Option<u64>) -> bool {
         match (self.start, start) {
             (Some(own), Some(start)) => own == start,
             _ => true,
@@ -154,8 +162,9 @@
     }
 }
 
-/// Returns an instance's id and its start, if its daemon knows it.
-fn split(name: &str) -> (&str, Option<u64>) {
+/// Splits an upstream's name in the mesh into the instance id and the start time, if the
+/// name has one.
+fn split_name(name: &str) -> (&str, Option<u64>) {
     match name.split_once(START_SEPARATOR) {
         Some((instance, start)) => (instance, start.parse().ok()),
         None => (name, None),
--- a/src/daemon/limits.rs
+++ b/src/daemon/limits.rs
@@ -1,7 +1,8 @@
-//! Limits that all daemons keep together, at this daemon.
+//! This daemon's part in the limits that apply to the whole mesh.
 //!
-//! It admits its share of what is offered to it, reports that to the keepers of the
-//! limits, and keeps some limits itself. `cicadashift_core::limit` has the decisions.
+//! The daemon admits the granted share of the calls offered to it, reports its usage to the
+//! keepers of the limits, and is itself the keeper of some. `cicadashift_core::limit`
+//! contains the algorithms.
 
 use super::versions::Running;
 use super::{Daemon, datagrams, lock};
@@ -14,79 +15,83 @@
 use std::time::Instant;
 
 const SHARDS: usize = 8;
-/// Most limits told of in one datagram.
+/// Maximum number of usage reports in one datagram.
 const USAGES_PER_DATAGRAM: usize = 128;
 
-/// Limits at this daemon.
+/// Limiters, accounts and notices of this daemon.
 #[derive(Default)]
 pub struct MeshLimits {
-    /// What this daemon may admit.
-    shares: [Mutex<HashMap<LimitKey, Limiter>>; SHARDS],
-    /// Accounts of the limits that it keeps.
+    /// Admission at this daemon, sharded by limit.
+    limiters: [Mutex<HashMap<LimitKey, Limiter>>; SHARDS],
+    /// Accounts of the limits of which this daemon is the keeper.
     accounts: Mutex<HashMap<LimitKey, Account>>,
     notices: Mutex<Notices>,
 }
 
-/// Notices of limits that are held back.
+/// State of the notices of throttled limits.
 #[derive(Default)]
 struct Notices {
-    /// Number of this daemon's last one, and when it went out.
-    number: u64,
-    sent: Option<Instant>,
-    /// Limits that it told of.
-    told: BTreeSet<LimitKey>,
-    /// Numbers of the last ones of other keepers.
-    heard: HashMap<HostKey, u64>,
+    /// Number of the last notice of this daemon, and when it was sent.
+    last_number: u64,
+    last_sent: Option<Instant>,
+    /// Throttled limits listed in this daemon's last notice.
+    announced: BTreeSet<LimitKey>,
+    /// Highest notice number received, by keeper.
+    last_received: HashMap<HostKey, u64>,
 }
 
 impl MeshLimits {
-    /// Decides about one call under a limit; one that is late gives way to others while
-    /// the limit is held back.
+    /// Returns whether to admit one call under a limit; `random` is any number.
+    ///
+    /// While the limit is throttled, a call whose answer would be late in any case
+    /// (`is_late`) is refused.
     pub fn admit(&self, key: LimitKey, is_late: bool, now: Instant, random: u64) -> bool {
-        let mut shares = lock(self.shard(key));
-        shares.entry(key).or_insert_with(|| Limiter::new(now)).admit(is_late, now, random)
+        let mut limiters = lock(self.shard(key));
+        limiters.entry(key).or_insert_with(|| Limiter::new(now)).admit(is_late, now, random)
     }
 
-    /// Takes in that a call which was admitted did not run after all.
+    /// Subtracts a call that was admitted but did not run from the usage.
     pub fn give_back(&self, key: LimitKey) {
-        if let Some(share) = lock(self.shard(key)).get_mut(&key) {
-            share.give_back();
+        if let Some(limiter) = lock(self.shard(key)).get_mut(&key) {
+            limiter.give_back();
         }
     }
 
-    /// Returns the share of a limit's calls that is admitted here, and how many a second.
-    pub fn admitting(&self, key: LimitKey, now: Instant) -> (u16, f64) {
-        let shares = lock(self.shard(key));
-        shares.get(&key).map_or((Grant::ALL, 0.0), |share| share.share_and_rate(now))
+    /// Returns how many calls of [`Grant::ALL`] this daemon admits under a limit, and the
+    /// calls admitted a second.
+    pub fn share_and_rate(&self, key: LimitKey, now: Instant) -> (u16, f64) {
+        let limiters = lock(self.shard(key));
+        limiters.get(&key).map_or((Grant::ALL, 0.0), |limiter| limiter.share_and_rate(now))
     }
 
     fn take_usages(&self, now: Instant) -> Vec<Usage> {
         let mut usages = Vec::new();
-        for shard in &self.shares {
-            let mut shares = lock(shard);
-            shares.retain(|_, share| !share.is_idle(now));
-            usages.extend(shares.iter_mut().filter_map(|(key, share)| share.take_usage(*key)));
+        for shard in &self.limiters {
+            let mut limiters = lock(shard);
+            limiters.retain(|_, limiter| !limiter.is_idle(now));
+            usages
+                .extend(limiters.iter_mut().filter_map(|(key, limiter)| limiter.take_usage(*key)));
         }
         usages
     }
 
     fn shard(&self, key: LimitKey) -> &Mutex<HashMap<LimitKey, Limiter>> {
-        &self.shares[key.0 as usize % SHARDS]
+        &self.limiters[key.0 as usize % SHARDS]
     }
 }
 
-/// Reports to the keepers of limits until cancelled.
+/// Sends usage reports and notices until cancelled.
 pub async fn run(d: Arc<Daemon>) {
     loop {
         smol::Timer::after(REPORT_EVERY.mul_f64(0.9 + 0.2 * fastrand::f64())).await;
         if let Some(notice) = due_notice(&d) {
-            pass_on(&d, &notice).await;
+            apply_and_forward(&d, &notice).await;
         }
         let usages = d.limits.take_usages(d.clock.now());
         if usages.is_empty() {
             continue;
         }
-        for (keeper, usages) in by_keeper(&d.members.limit_keepers(), usages) {
+        for (keeper, usages) in group_by_keeper(&d.members.limit_keepers(), usages) {
             match keeper == d.me {
                 true => apply_grants(&d, &handle_usages(&d, &usages)),
                 false => {
@@ -99,14 +104,15 @@
     }
 }
 
-/// Takes in what a daemon saw of limits kept here; returns what it may admit.
+/// Adds a daemon's usage reports to the accounts kept here; returns the grants in answer.
 pub fn handle_usages(d: &Daemon, usages: &[Usage]) -> Vec<Grant> {
     let now = d.clock.now();
-    let parts = Parts::now(d);
+    let parts = QuotaParts::current(d);
     let mut accounts = lock(&d.limits.accounts);
     let mut grant = |usage: &Usage| {
         let Some(part) = parts.of(usage.key) else {
-            // This daemon may run an older version than the one that reports.
+            // The reporting daemon may run a newer version of the configuration, with a
+            // limit that the version here does not have.
             return Grant { key: usage.key, share: Grant::ALL };
         };
         let account = accounts.entry(usage.key).or_insert_with(|| Account::new(now));
@@ -116,25 +122,25 @@
     usages.iter().map(&mut grant).collect()
 }
 
-/// Returns what may be admitted at once of a limit that is kept here, and what is offered a
-/// second; `None` where another daemon keeps it.
+/// Returns the calls that may be admitted at once under a limit (negative for a debt) and
+/// the calls offered a second; `None` if this daemon has no account of the limit.
 pub fn balance(d: &Daemon, key: LimitKey) -> Option<(f64, f64)> {
     let now = d.clock.now();
-    let part = Parts::now(d).of(key)?;
+    let part = QuotaParts::current(d).of(key)?;
     lock(&d.limits.accounts).get_mut(&key).map(|account| account.balance(part, now))
 }
 
-/// What of each limit this daemon counts with as its keeper.
-struct Parts {
+/// Determines the part of each quota that this daemon enforces as keeper.
+struct QuotaParts {
     running: Arc<Running>,
     live: usize,
     lost: usize,
 }
 
-impl Parts {
-    fn now(d: &Daemon) -> Parts {
+impl QuotaParts {
+    fn current(d: &Daemon) -> QuotaParts {
         let (live, lost) = (d.members.live_count(), d.members.lost_count());
-        Parts { running: d.versions.running(), live, lost }
+        QuotaParts { running: d.versions.running(), live, lost }
     }
 
     fn of(&self, key: LimitKey) -> Option<QuotaPart> {
@@ -143,86 +149,92 @@
     }
 }
 
-/// Returns a notice of the limits that are held back here, when one is due.
+/// Returns a notice of the limits that are throttled by this keeper, when one is due: at
+/// once when the set of throttled limits changes, else every [`NOTICE_EVERY`].
 fn due_notice(d: &Daemon) -> Option<Notice> {
     let now = d.clock.now();
-    let mut grants = held_back(d, now);
+    let mut grants = throttled_grants(d, now);
     let mut notices = lock(&d.limits.notices);
     let keys: BTreeSet<LimitKey> = grants.iter().map(|grant| grant.key).collect();
-    let is_new = keys != notices.told;
-    let released = notices.told.difference(&keys);
+    let is_changed = keys != notices.announced;
+    let released = notices.announced.difference(&keys);
     grants.extend(released.map(|key| Grant { key: *key, share: Grant::ALL }));
-    let is_old = notices.sent.is_none_or(|sent| now >= sent + NOTICE_EVERY);
-    notices.told = keys;
-    if grants.is_empty() || !(is_new || is_old) {
+    let is_due = notices.last_sent.is_none_or(|sent| now >= sent + NOTICE_EVERY);
+    notices.announced = keys;
+    if grants.is_empty() || !(is_changed || is_due) {
         return None;
     }
-    notices.sent = Some(now);
-    // Rises over a restart of this daemon too.
-    notices.number = d.clock.wall_ms().max(notices.number + 1);
-    Some(Notice { keeper: d.me, number: notices.number, grants })
+    notices.last_sent = Some(now);
+    // Based on the wall clock, so that the number also increases over a restart of this
+    // daemon.
+    notices.last_number = d.clock.wall_ms().max(notices.last_number + 1);
+    Some(Notice { keeper: d.me, number: notices.last_number, grants })
 }
 
-fn held_back(d: &Daemon, now: Instant) -> Vec<Grant> {
+/// Returns the reduced grants of the throttled limits of which this daemon is the keeper.
+fn throttled_grants(d: &Daemon, now: Instant) -> Vec<Grant> {
     if lock(&d.limits.accounts).is_empty() {
         return Vec::new();
     }
-    let parts = Parts::now(d);
+    let parts = QuotaParts::current(d);
     let mut accounts = lock(&d.limits.accounts);
     accounts.retain(|_, account| !account.is_idle(now));
-    let notice = |(key, account): (&LimitKey, &mut Account)| {
+    let reduced = |(key, account): (&LimitKey, &mut Account)| {
         parts.of(*key).and_then(|part| account.reduced_grant(*key, part, now))
     };
-    accounts.iter_mut().filter_map(notice).collect()
+    accounts.iter_mut().filter_map(reduced).collect()
 }
 
-/// Takes a notice in, and passes it on if it is new here.
+/// Applies a received notice and forwards it, unless it was received before.
 pub async fn handle_notice(d: &Daemon, notice: Notice) {
     let is_new = {
         let mut notices = lock(&d.limits.notices);
-        let last = notices.heard.entry(notice.keeper).or_default();
+        let last = notices.last_received.entry(notice.keeper).or_default();
         let is_new = notice.number > *last && notice.keeper != d.me;
         *last = notice.number.max(*last);
         is_new
     };
     if is_new {
-        pass_on(d, &notice).await;
+        apply_and_forward(d, &notice).await;
     }
 }
 
-async fn pass_on(d: &Daemon, notice: &Notice) {
+/// Applies the grants of a notice here and sends the notice to other daemons.
+async fn apply_and_forward(d: &Daemon, notice: &Notice) {
     let now = d.clock.now();
     for grant in &notice.grants {
-        let mut shares = lock(d.limits.shard(grant.key));
-        shares.entry(grant.key).or_insert_with(|| Limiter::new(now)).apply_grant(*grant, now);
+        let mut limiters = lock(d.limits.shard(grant.key));
+        limiters.entry(grant.key).or_insert_with(|| Limiter::new(now)).apply_grant(*grant, now);
     }
     for host in d.members.audience_at_once() {
         datagrams::tell_notice(d, host, notice.clone()).await;
     }
 }
 
-/// Takes in what this daemon may admit.
+/// Applies grants that a keeper sent in answer to a usage report.
 pub fn apply_grants(d: &Daemon, grants: &[Grant]) {
     let now = d.clock.now();
     for grant in grants {
-        if let Some(share) = lock(d.limits.shard(grant.key)).get_mut(&grant.key) {
-            share.apply_grant(*grant, now);
+        if let Some(limiter) = lock(d.limits.shard(grant.key)).get_mut(&grant.key) {
+            limiter.apply_grant(*grant, now);
         }
     }
 }
 
-/// Sorts reports by the daemon that keeps each limit, the same at all daemons whose
-/// tables agree. Rendezvous hashing: a limit moves only when its keeper ends, or when
-/// one comes that ranks higher for it.
-fn by_keeper(keepers: &[HostKey], usages: Vec<Usage>) -> BTreeMap<HostKey, Vec<Usage>> {
-    let mut sorted: BTreeMap<HostKey, Vec<Usage>> = BTreeMap::new();
+/// Groups usage reports by the keeper of each limit.
+///
+/// Keepers are chosen by rendezvous hashing: daemons whose membership tables agree choose
+/// the same keeper, and a limit moves only when its keeper ends or a daemon that ranks
+/// higher for the limit joins.
+fn group_by_keeper(keepers: &[HostKey], usages: Vec<Usage>) -> BTreeMap<HostKey, Vec<Usage>> {
+    let mut by_keeper: BTreeMap<HostKey, Vec<Usage>> = BTreeMap::new();
     for usage in usages {
         let keeper = keepers.iter().max_by_key(|host| mix(host.0 ^ usage.key.0.rotate_left(32)));
         if let Some(keeper) = keeper {
-            sorted.entry(*keeper).or_default().push(usage);
+            by_keeper.entry(*keeper).or_default().push(usage);
         }
     }
-    sorted
+    by_keeper
 }
 
 /// Mixes the bits of a number (the finalizer of SplitMix64).
--- a/src/daemon/quotas.rs
+++ b/src/daemon/quotas.rs
@@ -1,8 +1,8 @@
-//! What daemons know of organisations and their quotas, for operators.
+//! Status of organisations and their quotas, for operators.
 //!
-//! Each daemon knows what it admits, and the keeper of a limit what all are offered. An
-//! answer sums over the daemons that answered in time, so that a cut shows as a smaller
-//! number of them. Keys are nowhere in it.
+//! Each daemon reports the calls that it admits, and the keeper of a limit also the calls
+//! that are offered to all daemons. The fleet's status lists the daemons that answered in
+//! time, so that a partition shows as a smaller number of them. API keys are never included.
 
 use super::{Daemon, limits, status};
 use cicadashift_core::config::organisation::Account;
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-/// Returns what this daemon knows.
+/// Returns the status of all organisations at this daemon.
 pub fn own(d: &Daemon) -> Value {
     let running = d.versions.running();
     let accounts = running.table.organisations.iter().flat_map(|directory| directory.accounts());
@@ -24,7 +24,7 @@
 }
 
 fn row(d: &Daemon, account: &Account) -> Value {
-    let (share, admitted) = d.limits.admitting(account.limit, d.clock.now());
+    let (share, admitted) = d.limits.share_and_rate(account.limit, d.clock.now());
     let kept = limits::balance(d, account.limit)
         .map(|(left, offered)| json!({"left": left.round() as i64, "offered_per_s": offered.round() as u64}));
     json!({
@@ -38,7 +38,7 @@
     })
 }
 
-/// Returns what all daemons known answer.
+/// Returns the status at this daemon and at all other daemons that answer in time.
 pub async fn fleet(d: &Arc<Daemon>) -> Value {
     let mut hosts = vec![own(d)];
     hosts.extend(status::ask_others(d, Ask::Quotas).await);
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -1,4 +1,4 @@
-//! Upstreams as this daemon chooses them, sharded by service.
+//! Upstream selection and retry budgets of each service, sharded by service.
 
 use super::{Daemon, lock};
 use cicadashift_core::ids::HostKey;
@@ -13,84 +13,84 @@
 use std::time::{Duration, Instant};
 
 const SHARDS: usize = 8;
-/// Share of the retries allowed that are made. The rest is for what a daemon
-/// does not see: calls that a repeated run makes again, and windows in which
-/// first attempts are fewer than when the retries were earned.
+/// Fraction of the allowed ratio of retries to first attempts that is used. The rest is for
+/// what a daemon does not see: calls that a repeated run makes again, and windows with fewer
+/// first attempts than when the retries were earned.
 const SAFE_SHARE: f64 = 0.5;
-/// Share of the slack that is used. Less than of the ratio: a bucket may go into debt for
-/// part of a retry, which all daemons together may do at once.
+/// Fraction of the slack that is used. Lower than [`SAFE_SHARE`], since each daemon's bucket
+/// may go into debt for part of a retry, and all daemons may do so at the same time.
 const SLACK_SHARE: f64 = 0.25;
-/// Share of a window for which retries that were earned are saved up. What two services
-/// save may be used in one window, and the calls that repeated runs of the one make count
-/// at the other.
+/// Fraction of a window for which earned retries are saved. Two services may use their saved
+/// retries in the same window, and calls that repeated runs of one service make count at the
+/// other.
 const SAVED_SHARE: f64 = 0.1;
 
-/// One service's upstreams and retries.
+/// Load balancer and retry budget of one service.
 pub struct Service {
-    /// The choice among its upstreams.
+    /// Chooses among the service's upstreams.
     pub picker: Picker,
-    /// Retries that its calls may still use.
+    /// Retry budget of the service's calls.
     pub budget: RetryBudget,
 }
 
 impl Service {
-    fn start(&mut self, choice: Choice, now: Instant) -> Target {
+    /// Records the start of an attempt at the chosen upstream.
+    fn start_attempt(&mut self, choice: Choice, now: Instant) -> Target {
         let has_room = self.picker.has_room(choice.key, now);
         self.picker.started(choice.key);
-        let known = self.picker.info(choice.key);
-        let (host, locality, instance) = (known.host, known.locality, known.instance.clone());
+        let info = self.picker.info(choice.key);
+        let (host, locality, instance) = (info.host, info.locality, info.instance.clone());
         Target { choice, host, locality, instance, has_room, available: self.picker.len() }
     }
 }
 
-/// Time to come back where nobody has announced the service yet: reports come
-/// every second or two.
+/// Retry delay when no upstream of the service is announced yet: reports arrive every second
+/// or two.
 const UNANNOUNCED_WAIT: Duration = Duration::from_millis(600);
 
 type Shard = Mutex<HashMap<String, Service>>;
 
-/// Upstreams of all services.
+/// All services by name.
 pub struct Services {
     policy: Policy,
-    /// Held while membership is read and taken in. Failure: two threads read it
-    /// in one order and take it in in the other. Symptom: an upstream that left
-    /// is chosen until the next change. One at a time, the last read is the last
-    /// taken in.
+    /// Held while membership is read and applied. Failure: two threads read it in one order
+    /// and apply it in the other. Symptom: an upstream that left is chosen until the next
+    /// change. Under the lock, the last state read is the last one applied.
     syncing: Mutex<()>,
     shards: [Shard; SHARDS],
 }
 
-/// A chosen upstream with what is needed to reach it.
+/// A chosen upstream and how to reach it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The choice.
+    /// The picker's choice.
     pub choice: Choice,
-    /// The host whose daemon admits.
+    /// The upstream's host, whose daemon decides on admission.
     pub host: HostKey,
-    /// Where that is.
+    /// Locality of the host.
     pub locality: Locality,
-    /// The instance's name.
+    /// The upstream's name in the mesh.
     pub instance: String,
-    /// Whether it has a free slot, as far as is known.
+    /// Whether the upstream had a free slot, as far as this daemon knows.
     pub has_room: bool,
-    /// Upstreams of the service that take work.
+    /// Number of upstreams of the service that accept calls.
     pub available: usize,
 }
 
 impl Services {
-    /// Makes a set without services.
+    /// Creates an empty set of services.
     pub fn new(policy: Policy) -> Services {
         Services { policy, syncing: Mutex::new(()), shards: Default::default() }
     }
 
-    /// Takes in what membership knows now.
+    /// Updates the upstreams of all services from the membership table.
     pub fn sync(&self, d: &Daemon) {
-        let _turn = lock(&self.syncing);
+        let _guard = lock(&self.syncing);
         let now = d.clock.now();
         let mut by_service: HashMap<String, Vec<UpstreamInfo>> = HashMap::new();
         for record in d.members.all() {
-            for (service, known) in known(d, &record) {
-                by_service.entry(service).or_default().push(known);
+            for (service, info) in selectable_upstreams(d, &record) {
+                by_service.entry(service).or_default().push(info);
             }
         }
         for (i, shard) in self.shards.iter().enumerate() {
@@ -109,22 +109,24 @@
         }
     }
 
-    /// Does something with a service, or returns `None` if nobody announced it.
-    pub fn with<T>(&self, name: &str, work: impl FnOnce(&mut Service) -> T) -> Option<T> {
-        lock(&self.shards[shard_of(name)]).get_mut(name).map(work)
+    /// Calls `f` with a service under its lock; returns `None` if the service was never
+    /// announced.
+    pub fn with<T>(&self, name: &str, f: impl FnOnce(&mut Service) -> T) -> Option<T> {
+        lock(&self.shards[shard_of(name)]).get_mut(name).map(f)
     }
 
-    /// Records the first attempt of a call.
+    /// Credits the service's retry budget for the first attempt of a call.
     pub fn earn_retries(&self, d: &Daemon, name: &str) {
         let (allowance, now) = (allowance(d), d.clock.now());
         self.with(name, |service| service.budget.earn(allowance, now));
     }
 
-    /// Chooses an upstream and counts the attempt as begun.
+    /// Chooses an upstream and records the start of the attempt; `tried` lists the upstreams
+    /// of earlier attempts.
     ///
     /// # Errors
     ///
-    /// Returns when to come back, where no upstream takes work.
+    /// Returns the retry delay if no upstream accepts calls.
     pub fn choose(
         &self,
         name: &str,
@@ -134,13 +136,13 @@
     ) -> Result<Target, Duration> {
         let chosen = self.with(name, |service| {
             let choice = service.picker.choose(demand, now, fastrand::u64(..), tried)?;
-            Ok(service.start(choice, now))
+            Ok(service.start_attempt(choice, now))
         });
         chosen.unwrap_or(Err(UNANNOUNCED_WAIT))
     }
 
-    /// Chooses an upstream for a second attempt beside the first and pays for it;
-    /// `None` where none has room or the budget is spent.
+    /// Chooses an upstream for a hedged attempt and pays for the attempt from the retry budget;
+    /// returns `None` if no upstream has room or the budget is exhausted.
     pub fn choose_hedge(
         &self,
         name: &str,
@@ -150,29 +152,29 @@
     ) -> Option<Target> {
         let chosen = self.with(name, |service| {
             let choice = service.picker.choose(demand, now, fastrand::u64(..), tried).ok()?;
-            let pays = service.picker.may_hedge(choice.key, now)
+            let is_allowed = service.picker.may_hedge(choice.key, now)
                 && service.budget.spend(fastrand::u64(..));
-            pays.then(|| service.start(choice, now))
+            is_allowed.then(|| service.start_attempt(choice, now))
         });
         chosen.flatten()
     }
 
-    /// Takes in that a host gives no sign of life, or does again.
-    pub fn set_silent(&self, host: HostKey, silent: bool) {
+    /// Marks a host as silent, or as no longer silent.
+    pub fn set_silent(&self, host: HostKey, is_silent: bool) {
         for shard in &self.shards {
             for service in lock(shard).values_mut() {
-                service.picker.set_silent(host, silent);
+                service.picker.set_silent(host, is_silent);
             }
         }
     }
 
-    /// Returns how many upstreams of a service take work.
+    /// Returns how many upstreams of a service accept calls.
     pub fn available(&self, name: &str) -> usize {
         self.with(name, |service| service.picker.len()).unwrap_or(0)
     }
 }
 
-/// Returns what this daemon may use of the retries that the settings allow to all.
+/// Returns this daemon's part of the retries that the settings allow to all daemons.
 fn allowance(d: &Daemon) -> Allowance {
     let retries = d.tunable.get().retries;
     let daemons = d.members.live_count().max(1) as f64;
@@ -183,7 +185,8 @@
     }
 }
 
-/// An attempt in progress; its end is recorded even if the caller vanishes.
+/// An attempt in flight. If it is dropped before [`AttemptGuard::end`], such as when the
+/// caller disconnects, the attempt is recorded as cancelled.
 pub struct AttemptGuard {
     d: Arc<Daemon>,
     service: String,
@@ -193,12 +196,13 @@
 }
 
 impl AttemptGuard {
-    /// Follows an attempt that [`Services::choose`] began.
+    /// Creates the guard of an attempt that [`Services::choose`] or
+    /// [`Services::choose_hedge`] started.
     pub fn new(d: &Arc<Daemon>, service: &str, key: UpstreamKey, demand: Demand) -> AttemptGuard {
         AttemptGuard { d: d.clone(), service: service.to_string(), key, demand, ended: false }
     }
 
-    /// Records how it ended.
+    /// Records the outcome of the attempt.
     pub fn end(mut self, outcome: Outcome) {
         self.record(outcome);
     }
@@ -220,11 +224,11 @@
     }
 }
 
-/// Returns the upstreams of a record that may be chosen.
+/// Returns the upstreams in a membership record that may be chosen.
 ///
-/// A leaving or dead daemon's upstreams are left out at once: its host admits
-/// nothing more.
-fn known(d: &Daemon, record: &Record) -> Vec<(String, UpstreamInfo)> {
+/// The upstreams of a daemon that is leaving or dead are left out at once, since that daemon
+/// admits no more calls.
+fn selectable_upstreams(d: &Daemon, record: &Record) -> Vec<(String, UpstreamInfo)> {
     if !matches!(record.health, Health::Alive | Health::Suspect) {
         return Vec::new();
     }
@@ -240,16 +244,16 @@
         .filter_map(|endpoint| {
             let Endpoint { service, version, instance, .. } = endpoint;
             let name = d.rollouts.lane_of(service, version, instance)?;
-            let has_left = d.signals.has_left(record.host, instance);
-            let known = UpstreamInfo {
+            let is_leaving = d.signals.is_leaving(record.host, instance);
+            let info = UpstreamInfo {
                 host: record.host,
                 instance: endpoint.instance.clone(),
                 locality,
                 slots: endpoint.slots,
-                readiness: if has_left { Readiness::Draining } else { endpoint.readiness },
+                readiness: if is_leaving { Readiness::Draining } else { endpoint.readiness },
                 host_suspected: record.health == Health::Suspect,
             };
-            Some((name, known))
+            Some((name, info))
         })
         .collect()
 }
--- a/src/daemon/tunable.rs
+++ b/src/daemon/tunable.rs
@@ -1,4 +1,4 @@
-//! The part of the settings that may change while the daemon runs.
+//! Settings that can change while the daemon runs.
 
 use super::{Daemon, lock};
 use crate::settings::{Retries, Settings};
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Values that may change while the daemon runs.
+/// Values of the settings that can change while the daemon runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Values {
-    /// Repeated attempts that all daemons together may add.
+    /// Retry budget of all daemons together.
     pub retries: Retries,
-    /// Time a planned stop gives peers to stop sending.
+    /// Time that a planned stop leaves peers to stop sending calls.
     pub leave: Duration,
-    /// Time a planned stop gives calls in progress.
+    /// Time that a planned stop leaves calls in flight to end.
     pub finish: Duration,
 }
 
@@ -27,37 +27,37 @@
     }
 }
 
-/// Values that may change, behind their lock.
+/// The values in force, shared by all tasks of the daemon.
 pub struct Tunable {
     values: Mutex<Values>,
 }
 
 impl Tunable {
-    /// Takes the values of the settings.
+    /// Starts with the values of the settings.
     pub fn new(settings: &Settings) -> Tunable {
         Tunable { values: Mutex::new(Values::of(settings)) }
     }
 
-    /// Returns the values now in force.
+    /// Returns the values in force.
     pub fn get(&self) -> Values {
         *lock(&self.values)
     }
 }
 
-/// Takes changed settings in until cancelled. Calls in progress are not touched.
+/// Applies changed settings until cancelled. Calls in flight are not affected.
 pub async fn run(d: Arc<Daemon>, changes: Receiver<Settings>) {
     while let Ok(settings) = changes.recv().await {
         *lock(&d.tunable.values) = Values::of(&settings);
         d.metrics.incr("settings.changed");
-        for field in unchanged_until_restart(&d.settings, &settings) {
+        for field in fields_needing_restart(&d.settings, &settings) {
             log::warn!("settings: `{field}` changed; it takes effect at the next start");
         }
     }
     std::future::pending::<()>().await;
 }
 
-/// Names the fields that differ but are only read at the start.
-fn unchanged_until_restart(old: &Settings, new: &Settings) -> Vec<&'static str> {
+/// Returns the names of the fields that differ but are only read at the start.
+fn fields_needing_restart(old: &Settings, new: &Settings) -> Vec<&'static str> {
     let fields = [
         ("host", old.host != new.host),
         ("failure_domain", old.failure_domain != new.failure_domain),
