--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -1,5 +1,5 @@
-//! Organisations on the users' platform, with real processes: keys, what upstreams are
-//! told, and quotas that all daemons keep together.
+//! Organisations with real processes on the platform's interface: API keys, the organisation
+//! header that upstreams receive, and quotas that apply to all daemons together.
 
 mod common;
 
@@ -25,7 +25,8 @@
     cfg
 }
 
-/// A request, and the organisation that its upstream is told, if it reaches one.
+/// A request, and the organisation that its upstream receives, or `None` if the request must
+/// reach no upstream.
 struct Case {
     id: &'static str,
     headers: Vec<(&'static str, &'static str)>,
@@ -54,7 +55,7 @@
 
 #[test]
 fn upstreams_learn_the_organisation_and_never_the_key() {
-    // Guards against a caller that names an organisation itself, and against a key that
+    // Guards against a caller that forges the organisation header, and against a key that
     // reaches an upstream or a log.
     run(async {
         let fleet = serving(2, 0).await;
@@ -76,14 +77,14 @@
         let anonymous = status(&fleet, 0, "/open/1", "anonymous", &[forged]).await;
         assert_eq!(anonymous, Some(200));
         let seen: Vec<_> = fleet.nodes.iter().flat_map(|node| node.instance.senders()).collect();
-        let told = |id: &str| -> Vec<String> {
+        let received = |id: &str| -> Vec<String> {
             let ran = seen.iter().filter(|sender| sender.id == id);
             ran.map(|sender| sender.organisation.clone()).collect()
         };
         for Case { id, organisation, .. } in &cases {
-            assert_eq!(told(id), Vec::from_iter(organisation.map(str::to_string)), "{id}");
+            assert_eq!(received(id), Vec::from_iter(organisation.map(str::to_string)), "{id}");
         }
-        assert_eq!(told("anonymous"), [""]);
+        assert_eq!(received("anonymous"), [""]);
         assert!(seen.iter().all(|sender| !sender.has_credentials));
         let logs: String = (0..2).map(|i| fleet.log(i)).collect();
         assert!(!logs.contains("key-of-town") && !logs.contains("second-key"));
@@ -92,8 +93,8 @@
 
 #[test]
 fn a_key_that_is_taken_away_stops_working_everywhere() {
-    // Guards against a daemon that goes on taking a key which the newest version no
-    // longer has, or refuses one that it adds.
+    // Guards against a daemon that still accepts a key which the newest version removed, or
+    // refuses a key which it added.
     run(async {
         let fleet = serving(3, 0).await;
         let mut cfg = with_organisations(3, 0);
@@ -114,8 +115,9 @@
 
 #[test]
 fn a_quota_holds_for_all_daemons_together() {
-    // Guards against a limit that each daemon keeps by itself: an organisation that asks
-    // ten times its quota at three daemons gets it once, and others go on being served.
+    // Guards against a quota that each daemon enforces by itself: an organisation that calls
+    // three daemons at ten times its quota gets its quota once, and calls of another
+    // organisation are still served.
     const RATE: u64 = 20;
     const SECONDS: u64 = 4;
     run(async {
@@ -138,30 +140,31 @@
             n += 1;
             smol::Timer::after(Duration::from_millis(2)).await;
         }
-        // The rule allows a tenth and twenty calls beyond rate and burst.
+        // Allowed are the rate and the burst, a tenth more, and twenty calls.
         let most = (RATE * SECONDS + RATE) * 11 / 10 + 20;
         assert!(served <= most, "{served} served, {refused} refused");
         assert!(served >= RATE * SECONDS / 2, "{served} served, {refused} refused");
         assert!(refused > 0);
         let ran = (0..n).filter(|n| fleet.ledger.count(&format!("town-{n}")) > 0).count();
-        assert_eq!(ran as u64, served, "what is refused does not run");
+        assert_eq!(ran as u64, served, "refused calls must not run");
     });
 }
 
-/// Runs `cicadashift organisation` against one daemon; returns what it prints.
+/// Runs `cicadashift organisation` against the first daemon; returns whether it succeeded and
+/// its output.
 async fn organisation(fleet: &HostedFleet, args: &[&str]) -> (bool, String) {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_cicadashift"));
     command.arg("organisation").args(args);
     command.arg("--daemon").arg(fleet.nodes[0].control.to_string());
-    let output = smol::unblock(move || command.output()).await.expect("it can be started");
+    let output = smol::unblock(move || command.output()).await.expect("cicadashift can be started");
     let text = |buf: &[u8]| String::from_utf8_lossy(buf).into_owned();
     (output.status.success(), text(&output.stdout) + &text(&output.stderr))
 }
 
 #[test]
-fn operators_see_who_is_held_back_and_never_a_key() {
-    // Guards against a refused organisation about which nobody can say how much it asks,
-    // and against a key in what operators are shown.
+fn operators_see_throttled_organisations_and_never_a_key() {
+    // Guards against a throttled organisation whose offered calls operators cannot see, and
+    // against a key in the output for operators.
     run(async {
         let fleet = serving(3, 20).await;
         let (_, idle) = organisation(&fleet, &["list"]).await;
@@ -180,10 +183,10 @@
         assert!(shown.contains("counted by ") && shown.contains("3 daemons answered"), "{shown}");
         let (_, json) = organisation(&fleet, &["list", "--json"]).await;
         assert!(json.contains("\"rate_per_s\":20"), "{json}");
-        for said in [&shown, &json, &idle] {
-            assert!(!said.contains("key-of") && !said.contains("second-key"), "{said}");
+        for text in [&shown, &json, &idle] {
+            assert!(!text.contains("key-of") && !text.contains("second-key"), "{text}");
         }
-        let (is_known, said) = organisation(&fleet, &["show", "nobody"]).await;
-        assert!(!is_known && said.contains("organisation nobody does not exist"), "{said}");
+        let (is_known, shown) = organisation(&fleet, &["show", "nobody"]).await;
+        assert!(!is_known && shown.contains("organisation nobody does not exist"), "{shown}");
     });
 }
