--- a/src/daemon/datagrams.rs
+++ b/src/daemon/datagrams.rs
@@ -96,7 +96,7 @@
     let purpose = match (kind, piggyback.has_no_gossip()) {
         _ if piggyback.has_limit_data() => Purpose::Limit,
         (Kind::News, true) => Purpose::Heartbeat,
-        (Kind::News, false) => Purpose::News,
+        (Kind::News, false) => Purpose::Membership,
         _ => Purpose::Probe,
     };
     let datagram = Datagram {
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -153,12 +153,12 @@
     } = datagram;
     liveness::note_received(d, host);
     quarantine::heard(d, &suspicions);
-    limits::granted(d, &grants);
+    limits::apply_grants(d, &grants);
     if let Some(notice) = notice {
-        limits::heard(d, notice).await;
+        limits::handle_notice(d, notice).await;
     }
     if !usages.is_empty() {
-        let grants = limits::reported(d, &usages);
+        let grants = limits::handle_usages(d, &usages);
         send_datagram(d, (host, from), Kind::News, Piggyback { grants, ..Piggyback::default() })
             .await;
     }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -137,13 +137,13 @@
     /// When other hosts last gave signs of life.
     pub liveness: Mutex<Liveness>,
     /// Callers that were refused and are expected to return.
-    pub callers: callers::Callers,
+    pub returning_callers: callers::ShardedReturningCallers,
     /// Quarantine of calls that end the upstreams which run them.
     pub quarantine: quarantine::Quarantine,
     /// Rate limits that all daemons enforce together.
-    pub limits: limits::Limits,
+    pub limits: limits::MeshLimits,
     /// In-band signals of upstreams in the answers that this daemon received.
-    pub in_band_signals: in_band::Remembered,
+    pub in_band_signals: in_band::RememberedSignals,
     /// Rollouts of new versions.
     pub rollouts: rollouts::Rollouts,
     /// Load balancing over the upstreams of each service.
@@ -379,10 +379,10 @@
             versions: versions::Versions::new(&settings, me, incarnation, clock.clone()),
             members: members::Members::new(&settings, me, incarnation, ports.mesh, clock.now()),
             liveness: Mutex::default(),
-            callers: callers::Callers::default(),
+            returning_callers: callers::ShardedReturningCallers::default(),
             quarantine: quarantine::Quarantine::default(),
-            limits: limits::Limits::default(),
-            in_band_signals: in_band::Remembered::default(),
+            limits: limits::MeshLimits::default(),
+            in_band_signals: in_band::RememberedSignals::default(),
             rollouts: rollouts::Rollouts::default(),
             services: services::Services::new(settings.choice),
             gates: gates::Gates::new(),
