--- a/src/daemon/gates/ended.rs
+++ b/src/daemon/gates/ended.rs
@@ -38,7 +38,7 @@
     let has_ended = find(d, local).await;
     if has_ended {
         // One whose answer broke off half-way is at work no more.
-        quarantine::ended(d, &local.name, &[call]);
+        quarantine::record_end(d, &local.name, &[call]);
     }
     has_ended
 }
@@ -72,7 +72,7 @@
     let names: Vec<String> = calls.iter().map(|call| call.to_string()).collect();
     d.metrics.incr("upstream.ended");
     log::warn!("upstream {} ended, {} calls at it: {}", local.name, names.len(), names.join(" "));
-    quarantine::ended(d, &local.name, &calls);
+    quarantine::record_end(d, &local.name, &calls);
     d.gates.lose(d, &local.name);
     true
 }
--- a/src/daemon/gateway.rs
+++ b/src/daemon/gateway.rs
@@ -147,8 +147,8 @@
     if let Some(newest) = newest {
         consider(d, newest, to);
     }
-    if quarantine::is_any(d) {
-        quarantine::differs(d, to);
+    if quarantine::has_suspicions(d) {
+        quarantine::compare_if_due(d, to);
     }
     true
 }
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -155,7 +155,7 @@
         notice,
     } = datagram;
     liveness::heard(d, host);
-    quarantine::heard(d, &suspicions);
+    quarantine::merge(d, &suspicions);
     limits::granted(d, &grants);
     if let Some(notice) = notice {
         limits::heard(d, notice).await;
@@ -207,7 +207,7 @@
     if matches!(kind, Kind::Ping | Kind::Ack) {
         compare(d, digest, from, differences);
         if suspects != d.quarantine.summary(d.clock.now()) {
-            quarantine::differs(d, from);
+            quarantine::compare_if_due(d, from);
         }
     }
 }
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -153,7 +153,7 @@
         self.live.store(live, Ordering::Relaxed);
         let told: Vec<Stage> = self.told_rollouts();
         told.iter().for_each(|stage| {
-            d.rollouts.learn(stage, d.clock.now());
+            d.rollouts.apply_stage(stage, d.clock.now());
         });
         d.services.sync(d);
     }
--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -71,8 +71,8 @@
         Ask::Status => Response::Status(status::own(d).to_string()),
         Ask::Quotas => Response::Status(quotas::own(d).to_string()),
         Ask::Suspicions(told) => {
-            quarantine::heard(d, &told);
-            Response::Suspicions(quarantine::all(d))
+            quarantine::merge(d, &told);
+            Response::Suspicions(quarantine::suspicions(d))
         }
         Ask::Rollout(report) => Response::Quotas(decider::on_report(d, report)),
         Ask::Record { rows } => {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -307,7 +307,7 @@
         exec::spawn(tunable::run(d.clone(), changes)),
         exec::spawn(costs::run(d.clone())),
         exec::spawn(quarantine::run(d.clone())),
-        exec::spawn(quarantine::tell(d.clone())),
+        exec::spawn(quarantine::send_updates(d.clone())),
         exec::spawn(limits::run(d.clone())),
     ];
     match d.settings.interface {
--- a/src/daemon/quarantine.rs
+++ b/src/daemon/quarantine.rs
@@ -94,7 +94,7 @@
 }
 
 /// Returns what is known against a call.
-pub fn standing(d: &Daemon, call: CallDigest) -> QuarantineState {
+pub fn state(d: &Daemon, call: CallDigest) -> QuarantineState {
     lock(&d.quarantine.suspects).state(call, d.clock.now())
 }
 
@@ -104,20 +104,20 @@
 }
 
 /// Takes in that an upstream ended with these calls at it.
-pub fn ended(d: &Arc<Daemon>, upstream: &str, calls: &[CallDigest]) {
+pub fn record_end(d: &Arc<Daemon>, upstream: &str, calls: &[CallDigest]) {
     let now = d.clock.now();
     let news = lock(&d.quarantine.suspects).ended(IncarnationKey::of(upstream), calls, now);
     take_in(d, news);
 }
 
 /// Takes in that an upstream ran a call and answered.
-pub fn ran_well(d: &Arc<Daemon>, call: CallDigest) {
+pub fn record_answer(d: &Arc<Daemon>, call: CallDigest) {
     let news = lock(&d.quarantine.suspects).ran_well(call, d.clock.now());
     take_in(d, news.into_iter().collect());
 }
 
 /// Takes in what another daemon told.
-pub fn heard(d: &Arc<Daemon>, told: &[Suspicion]) {
+pub fn merge(d: &Arc<Daemon>, told: &[Suspicion]) {
     if told.is_empty() {
         return;
     }
@@ -139,18 +139,18 @@
 }
 
 /// Returns all that is known, for other daemons and for operators.
-pub fn all(d: &Daemon) -> Vec<Suspicion> {
+pub fn suspicions(d: &Daemon) -> Vec<Suspicion> {
     lock(&d.quarantine.suspects).all(d.clock.now())
 }
 
 /// Returns whether anything is known against a call.
-pub fn is_any(d: &Daemon) -> bool {
+pub fn has_suspicions(d: &Daemon) -> bool {
     !lock(&d.quarantine.suspects).is_empty()
 }
 
 /// Compares with a daemon whose summary differs, unless that was done a moment ago, or
 /// the difference is news under way.
-pub fn differs(d: &Arc<Daemon>, to: SocketAddr) {
+pub fn compare_if_due(d: &Arc<Daemon>, to: SocketAddr) {
     if !lock(&d.quarantine.untold).is_empty() {
         return;
     }
@@ -168,9 +168,9 @@
 
 /// Tells a daemon all that is known and hears what it knows.
 pub async fn compare_with(d: &Arc<Daemon>, to: SocketAddr) {
-    let ask = Ask::Suspicions(all(d));
+    let ask = Ask::Suspicions(suspicions(d));
     match peers::ask(d, to, &ask, COMPARE_TIME).await {
-        Ok(Response::Suspicions(told)) => heard(d, &told),
+        Ok(Response::Suspicions(told)) => merge(d, &told),
         Ok(_) => log::debug!("{to} does not say which calls it suspects"),
         Err(err) => log::debug!("{to} was not asked which calls it suspects: {err}"),
     }
@@ -246,7 +246,7 @@
         suspicion.inspect_err(|err| log::warn!("{} is damaged: {err}", pair.key)).ok()
     });
     let told: Vec<_> = decoded.collect();
-    heard(d, &told);
+    merge(d, &told);
     Ok(Reading { era: d.platform.era().unwrap_or_default(), is_current })
 }
 
@@ -266,7 +266,7 @@
     }
     for suspicion in &news {
         let Suspicion { call, ended, .. } = suspicion;
-        match standing(d, *call) {
+        match state(d, *call) {
             QuarantineState::Quarantined { left } => {
                 d.metrics.incr("quarantine.judged");
                 let (ends, left) = (ended.len(), left.as_secs());
@@ -283,7 +283,7 @@
 }
 
 /// Tells the others what is news, until cancelled.
-pub async fn tell(d: Arc<Daemon>) {
+pub async fn send_updates(d: Arc<Daemon>) {
     while d.quarantine.news.1.recv().await.is_ok() {
         while tell_round(&d).await {
             smol::Timer::after(TELL_EVERY).await;
--- a/src/daemon/request/attempts/mod.rs
+++ b/src/daemon/request/attempts/mod.rs
@@ -67,7 +67,7 @@
             Got::Answer(answer) if !answer.is_failure() => {
                 if so_far.trial.is_some() {
                     // Others wait for this here; the exit daemon's news take longer.
-                    quarantine::ran_well(d, work.digest);
+                    quarantine::record_answer(d, work.digest);
                 }
                 return answer.into_response();
             }
--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/second.rs
@@ -41,7 +41,7 @@
     };
     let mut first = Box::pin(send(d, work, target, body, patience));
     // A suspected call is not sent to two upstreams at once.
-    let is_clear = quarantine::standing(d, work.digest) == QuarantineState::Clear;
+    let is_clear = quarantine::state(d, work.digest) == QuarantineState::Clear;
     let may_double =
         is_clear && work.repeatable && payload.is_left() && so_far.arrivals + 1 < work.allowed;
     let why = match race(first.as_mut(), late(d, work, target, may_double)).await {
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -136,7 +136,7 @@
     let sender = organisation.as_ref().map_or("", |account| account.name.as_str());
     let digest = asked_for.digest(&d.key, &head, sender, &mut payload);
     let part = pick_part(&route, fastrand::u64(..)).to_string();
-    let canaries = d.rollouts.canaries_for_call(&part, fastrand::u64(..));
+    let canaries = d.rollouts.canary_lane_for_call(&part, fastrand::u64(..));
     let (service, without_canaries) = match canaries {
         Some(canaries) => (canaries, Some(part)),
         None => (part, None),
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -112,7 +112,7 @@
 ///
 /// Its entry daemon asks too; only this one can be sure of the moment of the send.
 fn quarantined(d: &Daemon, cx: &Context) -> Option<Refusal> {
-    match quarantine::standing(d, cx.digest) {
+    match quarantine::state(d, cx.digest) {
         QuarantineState::Suspected | QuarantineState::Clear => None,
         QuarantineState::Quarantined { left } => match quarantine::review(d, cx.digest) {
             Review::Certain => Some(Refusal::Quarantined { retry_after: left }),
@@ -257,7 +257,7 @@
             pass.end(if whole { End::Answered(took) } else { End::Failed }, now);
             d.rollouts.observe(&local, kind, (whole && !has_failed).then_some(took));
             if whole {
-                quarantine::ran_well(&d, call);
+                quarantine::record_answer(&d, call);
             }
             if whole && let Some(idle) = idle {
                 connection.keep(&local.pool, idle);
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -150,7 +150,7 @@
     if let Some((attempt, reason)) = answer::refusal(&head) {
         if reason == call::UPSTREAM_ENDED {
             // The news may still be under way when the next attempt is decided on.
-            quarantine::ended(d, &target.instance, &[work.digest]);
+            quarantine::record_end(d, &target.instance, &[work.digest]);
         }
         flight.end(match attempt {
             Attempt::NotRun { .. } if reason == "unreached" => Outcome::Unreached,
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -61,7 +61,7 @@
     loop {
         let now = d.clock.now();
         let is_overdue = doubted.is_some_and(|since| now >= last_look(work, since));
-        let left = match quarantine::standing(d, work.digest) {
+        let left = match quarantine::state(d, work.digest) {
             QuarantineState::Quarantined { left } => left,
             QuarantineState::Suspected | QuarantineState::Clear if is_overdue => {
                 return refused_for_now(d);
@@ -122,7 +122,7 @@
     };
     // The one before may have decided it.
     let is_doubtful = matches!(
-        quarantine::standing(d, work.digest),
+        quarantine::state(d, work.digest),
         QuarantineState::Quarantined { .. } if quarantine::review(d, work.digest) == Review::Doubtful
     );
     if !is_doubtful {
--- a/src/daemon/rollouts/decider.rs
+++ b/src/daemon/rollouts/decider.rs
@@ -352,7 +352,7 @@
     if let Proposal::Grant(_) = proposal {
         return Ok(());
     }
-    d.rollouts.learn(&kept.stage, d.clock.now());
+    d.rollouts.apply_stage(&kept.stage, d.clock.now());
     publish(d);
     if kept.stage.phase.is_final() {
         d.metrics.incr("rollout.decided");
--- a/src/daemon/rollouts/mod.rs
+++ b/src/daemon/rollouts/mod.rs
@@ -86,7 +86,7 @@
     }
 
     /// Takes a stage in if it outranks what is known; returns whether it does.
-    pub fn learn(&self, stage: &Stage, now: Instant) -> bool {
+    pub fn apply_stage(&self, stage: &Stage, now: Instant) -> bool {
         let mut stages = lock(&self.stages);
         let known = stages.get(&stage.service);
         if known.is_some_and(|known| !stage.outranks(&known.stage)) {
@@ -109,7 +109,7 @@
     }
 
     /// Returns under which name an upstream is chosen, or nothing where it is not.
-    pub fn lane_of(&self, service: &str, version: &str, upstream: &str) -> Option<String> {
+    pub fn lane_name(&self, service: &str, version: &str, upstream: &str) -> Option<String> {
         let lane = self.stage(service).map_or(Lane::Main, |stage| stage.lane(version, upstream));
         match lane {
             Lane::Main => Some(service.to_string()),
@@ -119,7 +119,7 @@
     }
 
     /// Returns the name of a service's canaries, where one call is to go to them.
-    pub fn canaries_for_call(&self, service: &str, random: u64) -> Option<String> {
+    pub fn canary_lane_for_call(&self, service: &str, random: u64) -> Option<String> {
         let is_canary = self.stage(service)?.lane_of_call(random) == Lane::Canary;
         is_canary.then(|| canaries_of(service))
     }
@@ -134,7 +134,7 @@
     }
 
     /// Takes in the orders that the store has.
-    pub fn take_orders(&self, d: &Daemon, pairs: &[Pair]) {
+    pub fn replace_orders(&self, d: &Daemon, pairs: &[Pair]) {
         let mut orders = BTreeMap::new();
         for pair in pairs {
             if let Some(order) = self.decode(d, pair) {
@@ -145,7 +145,7 @@
     }
 
     /// Takes in that one order was written.
-    pub fn take_order(&self, d: &Daemon, pair: &Pair) {
+    pub fn add_order(&self, d: &Daemon, pair: &Pair) {
         if let Some(order) = self.decode(d, pair) {
             log::info!("rollout of {} to {} is ordered", order.service, order.target);
             lock(&self.orders).insert(order.service.clone(), order);
@@ -162,7 +162,7 @@
     }
 
     /// Takes in that an order was taken back.
-    pub fn take_back(&self, service: &str) {
+    pub fn withdraw_order(&self, service: &str) {
         if lock(&self.orders).remove(service).is_some() {
             log::info!("rollout of {service}: the order was taken back");
         }
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -239,7 +239,7 @@
         .iter()
         .filter_map(|endpoint| {
             let Endpoint { service, version, instance, .. } = endpoint;
-            let name = d.rollouts.lane_of(service, version, instance)?;
+            let name = d.rollouts.lane_name(service, version, instance)?;
             let has_left = d.signals.has_left(record.host, instance);
             let known = UpstreamInfo {
                 host: record.host,
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -334,9 +334,9 @@
 fn take_orders_of(d: &Daemon, changes: &[Change]) {
     for change in changes {
         match change {
-            Change::Put(pair) if d.is_order(&pair.key) => d.rollouts.take_order(d, pair),
+            Change::Put(pair) if d.is_order(&pair.key) => d.rollouts.add_order(d, pair),
             Change::Deleted(key) if d.is_order(key) => {
-                d.rollouts.take_back(key.rsplit('/').next().unwrap_or_default());
+                d.rollouts.withdraw_order(key.rsplit('/').next().unwrap_or_default());
             }
             Change::Put(_) | Change::Deleted(_) => {}
         }
@@ -347,7 +347,7 @@
 async fn read_orders(d: &Daemon) -> Result<(), PlatformError> {
     let Some(hosted) = &d.hosted else { return Ok(()) };
     let pairs = d.platform.list(hosted.order_prefix(), false).await?;
-    d.rollouts.take_orders(d, &pairs);
+    d.rollouts.replace_orders(d, &pairs);
     Ok(())
 }
 
@@ -362,7 +362,7 @@
     let (pairs, watch) = d.platform.list_and_watch(d.operator_prefix()).await?;
     let is_order = |pair: &&Pair| d.is_order(&pair.key);
     let orders: Vec<Pair> = pairs.iter().filter(is_order).cloned().collect();
-    d.rollouts.take_orders(d, &orders);
+    d.rollouts.replace_orders(d, &orders);
     for pair in pairs.into_iter().filter(|pair| pair.key == key) {
         take(d, Bytes::from(pair.value), pair.revision, "store");
     }
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -94,9 +94,9 @@
 /// Returns the calls that are suspected of ending upstreams, and for how long each is
 /// sent to none.
 pub fn quarantine(d: &Daemon) -> Value {
-    let rows = suspected::all(d).into_iter().filter(|suspicion| suspicion.count() > 0);
+    let rows = suspected::suspicions(d).into_iter().filter(|suspicion| suspicion.count() > 0);
     rows.map(|suspicion| {
-        let left = match suspected::standing(d, suspicion.call) {
+        let left = match suspected::state(d, suspicion.call) {
             QuarantineState::Quarantined { left } => Some(left.as_secs()),
             QuarantineState::Suspected | QuarantineState::Clear => None,
         };
