--- a/src/daemon/quarantine.rs
+++ b/src/daemon/quarantine.rs
@@ -1,12 +1,15 @@
-//! What all daemons together know of calls that end the upstreams which run them.
+//! Replication and storage of the suspicions against calls that end their upstreams.
 //!
-//! [`cicadashift_core::request::suspects`] decides. Here its news go to the others at
-//! once, in datagrams; probes carry a summary, and where two daemons' differ they compare
-//! all that they know. A quarantine also lies in the store until it is over, so that it
-//! outlives a restart of everything; each daemon reads them once after its start.
+//! [`cicadashift_core::request::suspects`] decides which calls are suspected or
+//! quarantined. This module sends each change to other daemons at once, in datagrams.
+//! Probes carry a summary of all suspicions; two daemons whose summaries differ exchange
+//! their suspicions in full. Quarantines are also written to the store until they are
+//! over, so that they outlive a restart of all daemons; each daemon reads them once after
+//! its start.
 //!
-//! Bytes told grow with the ends of upstreams, not with calls: some 30 for each call that
-//! was at one, twice to seven daemons from each that hears it first.
+//! The bytes sent grow with the number of upstreams that end, not with the number of
+//! calls: some 30 bytes for each call in flight at an upstream that ended. Each daemon that
+//! receives an update for the first time sends it to seven daemons, twice.
 
 use super::{Daemon, datagrams, lock, peers};
 use crate::store::{Platform, PlatformError, Swap, keys};
@@ -21,47 +24,51 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time between two rounds of news; the first one is told at once, since such a call may
-/// come to every host at the same time.
-const TELL_EVERY: Duration = Duration::from_millis(40);
-/// Suspicions in one datagram; at about 30 bytes each they stay under a usual MTU.
-const PER_DATAGRAM: usize = 32;
-/// Datagrams that one daemon gets in a round. Where 59 of 295 upstreams end at once, some
-/// 400 calls are suspected, and telling all of it at once would stand in the way of the
-/// calls that are left; in this way it takes a quarter of a second.
+/// Time between two rounds of updates. The first round is sent at once, since a call that
+/// ends upstreams may arrive at every host at the same time.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(40);
+/// Suspicions in one datagram; at about 30 bytes each they fit a usual MTU.
+const SUSPICIONS_PER_DATAGRAM: usize = 32;
+/// Datagrams that one daemon is sent in a round. If 59 of 295 upstreams end at once, some
+/// 400 calls are suspected, and sending all of these suspicions at once would delay the
+/// remaining calls. With this limit it takes a quarter of a second.
 const DATAGRAMS_PER_ROUND: usize = 4;
-/// How long a summary is used: one for each datagram would be most of the work.
-const SUMMARY_FOR: Duration = Duration::from_millis(500);
-/// Time between two comparisons that differing summaries lead to, at least.
-const COMPARE_EVERY: Duration = Duration::from_millis(400);
-/// The same for each call known, so that comparisons of full tables, which may never
-/// agree, take 8 KB/s and not 80: some 30 bytes a call, both ways.
-const COMPARE_EVERY_CALL: Duration = Duration::from_millis(8);
-/// Time for one comparison.
-const COMPARE_TIME: Duration = Duration::from_millis(500);
-/// Time between two looks at what has to be kept or forgotten.
-const LOOK: Duration = Duration::from_millis(500);
-/// How long the store keeps a quarantine without a daemon: as long as it lasts. Daemons
-/// that read it after a restart count its time anew, so that it may last twice as long.
-const KEPT_FOR: Duration = cicadashift_core::request::suspects::QUARANTINE_TIME;
+/// How long a computed summary is used: computing one for each datagram would be most of
+/// the work.
+const SUMMARY_MAX_AGE: Duration = Duration::from_millis(500);
+/// Minimum time between two comparisons that are started because summaries differ.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(400);
+/// The same for each suspected call. A comparison takes some 30 bytes a call in each
+/// direction, and full tables may never become equal: comparing these takes 8 KB/s with
+/// this limit and 80 KB/s without it.
+const COMPARE_INTERVAL_PER_CALL: Duration = Duration::from_millis(8);
+const COMPARE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time between two rounds that drop old suspicions and write quarantines to the store.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
+/// How long the store keeps a quarantine after a write: as long as the quarantine lasts.
+/// Daemons that read it after a restart start its time anew, so that it may last twice as
+/// long.
+const STORE_TTL: Duration = cicadashift_core::request::suspects::QUARANTINE_TIME;
 
-/// What this daemon knows.
+/// The suspicions of this daemon.
 pub struct Quarantine {
     suspects: Mutex<Suspects>,
-    untold: Mutex<Queue<CallDigest, Suspicion>>,
-    /// Says that there is something to tell.
-    news: (Sender<()>, Receiver<()>),
+    /// Changes that remain to be sent to other daemons.
+    pending: Mutex<Queue<CallDigest, Suspicion>>,
+    /// Wakes [`send_updates`].
+    wakeup: (Sender<()>, Receiver<()>),
+    /// The last computed summary and when it was computed.
     summary: Mutex<Option<(Instant, u64)>>,
-    /// When it last compared all that it knows with another daemon.
-    compared: Mutex<Option<Instant>>,
-    /// Trials that this daemon begins.
+    /// When a differing summary last led to a comparison with another daemon.
+    last_comparison: Mutex<Option<Instant>>,
+    /// State of the trials that this daemon starts.
     pub trials: Trials,
 }
 
-/// Trials that this daemon begins.
+/// State of the trials that this daemon starts.
 #[derive(Default)]
 pub struct Trials {
-    /// When it may ask for the key next.
+    /// Earliest time of the next attempt to acquire the key for a trial.
     pub next: smol::lock::Mutex<Option<Instant>>,
 }
 
@@ -69,148 +76,149 @@
     fn default() -> Quarantine {
         Quarantine {
             suspects: Mutex::default(),
-            untold: Mutex::default(),
-            news: smol::channel::bounded(1),
+            pending: Mutex::default(),
+            wakeup: smol::channel::bounded(1),
             summary: Mutex::default(),
-            compared: Mutex::default(),
+            last_comparison: Mutex::default(),
             trials: Trials::default(),
         }
     }
 }
 
 impl Quarantine {
-    /// Returns a number that is the same at daemons that know the same.
+    /// Returns a hash of all suspicions, which is equal at daemons with equal suspicions.
     pub fn summary(&self, now: Instant) -> u64 {
         let mut summary = lock(&self.summary);
         match *summary {
-            Some((at, summary)) if now < at + SUMMARY_FOR => summary,
+            Some((at, summary)) if now < at + SUMMARY_MAX_AGE => summary,
             _ => {
-                let fresh = lock(&self.suspects).summary(now);
-                *summary = Some((now, fresh));
-                fresh
+                let computed = lock(&self.suspects).summary(now);
+                *summary = Some((now, computed));
+                computed
             }
         }
     }
 }
 
-/// Returns what is known against a call.
+/// Returns whether a call is suspected or quarantined.
 pub fn state(d: &Daemon, call: CallDigest) -> QuarantineState {
     lock(&d.quarantine.suspects).state(call, d.clock.now())
 }
 
-/// Returns how sure the verdict on a quarantined call is.
+/// Returns how certain it is that a quarantined call ends upstreams.
 pub fn review(d: &Daemon, call: CallDigest) -> Review {
     lock(&d.quarantine.suspects).review(call, d.clock.now())
 }
 
-/// Takes in that an upstream ended with these calls at it.
+/// Records that an upstream ended while these calls were in flight at it.
 pub fn record_end(d: &Arc<Daemon>, upstream: &str, calls: &[CallDigest]) {
     let now = d.clock.now();
-    let news = lock(&d.quarantine.suspects).ended(IncarnationKey::of(upstream), calls, now);
-    take_in(d, news);
+    let changes = lock(&d.quarantine.suspects).ended(IncarnationKey::of(upstream), calls, now);
+    publish(d, changes);
 }
 
-/// Takes in that an upstream ran a call and answered.
+/// Records that an upstream ran a call and answered.
 pub fn record_answer(d: &Arc<Daemon>, call: CallDigest) {
-    let news = lock(&d.quarantine.suspects).ran_well(call, d.clock.now());
-    take_in(d, news.into_iter().collect());
+    let change = lock(&d.quarantine.suspects).ran_well(call, d.clock.now());
+    publish(d, change.into_iter().collect());
 }
 
-/// Takes in what another daemon told.
-pub fn merge(d: &Arc<Daemon>, told: &[Suspicion]) {
-    if told.is_empty() {
+/// Merges the suspicions that another daemon sent or the store holds.
+pub fn merge(d: &Arc<Daemon>, received: &[Suspicion]) {
+    if received.is_empty() {
         return;
     }
-    let news = lock(&d.quarantine.suspects).merge(told, d.clock.now());
-    take_in(d, news);
+    let changes = lock(&d.quarantine.suspects).merge(received, d.clock.now());
+    publish(d, changes);
 }
 
-/// Takes the suspicion from a call at all daemons; returns whether there was one.
+/// Clears a call at all daemons; returns whether it was suspected.
 ///
 /// # Errors
 ///
-/// Returns why the store may still hold it, so that a restart of all daemons would bring
-/// it back.
+/// Returns why the store may still hold the quarantine. If it does, a restart of all
+/// daemons brings the quarantine back.
 pub async fn lift(d: &Arc<Daemon>, call: CallDigest) -> Result<bool, PlatformError> {
-    let news = lock(&d.quarantine.suspects).clear(call, d.clock.now());
-    let Some(news) = news else { return Ok(false) };
-    take_in(d, vec![news.clone()]);
-    save(d, &news).await.map(|()| true)
+    let change = lock(&d.quarantine.suspects).clear(call, d.clock.now());
+    let Some(change) = change else { return Ok(false) };
+    publish(d, vec![change.clone()]);
+    save(d, &change).await.map(|()| true)
 }
 
-/// Returns all that is known, for other daemons and for operators.
+/// Returns all suspicions, for other daemons and for operators.
 pub fn suspicions(d: &Daemon) -> Vec<Suspicion> {
     lock(&d.quarantine.suspects).all(d.clock.now())
 }
 
-/// Returns whether anything is known against a call.
+/// Returns whether there are any suspicions, old and cleared ones included.
 pub fn has_suspicions(d: &Daemon) -> bool {
     !lock(&d.quarantine.suspects).is_empty()
 }
 
-/// Compares with a daemon whose summary differs, unless that was done a moment ago, or
-/// the difference is news under way.
+/// Starts a comparison with another daemon, unless the last one was too recent or updates
+/// that remain to be sent may explain why the summaries differ.
 pub fn compare_if_due(d: &Arc<Daemon>, to: SocketAddr) {
-    if !lock(&d.quarantine.untold).is_empty() {
+    if !lock(&d.quarantine.pending).is_empty() {
         return;
     }
     let now = d.clock.now();
-    let known = lock(&d.quarantine.suspects).len() as u32;
-    let pause = COMPARE_EVERY.max(COMPARE_EVERY_CALL * known);
-    let mut compared = lock(&d.quarantine.compared);
-    if compared.is_some_and(|at| now < at + pause) {
+    let calls = lock(&d.quarantine.suspects).len() as u32;
+    let interval = COMPARE_INTERVAL.max(COMPARE_INTERVAL_PER_CALL * calls);
+    let mut last_comparison = lock(&d.quarantine.last_comparison);
+    if last_comparison.is_some_and(|at| now < at + interval) {
         return;
     }
-    *compared = Some(now);
+    *last_comparison = Some(now);
     let d = d.clone();
     exec::spawn(async move { compare_with(&d, to).await }).detach();
 }
 
-/// Tells a daemon all that is known and hears what it knows.
+/// Sends all suspicions to a daemon and merges those that it returns.
 pub async fn compare_with(d: &Arc<Daemon>, to: SocketAddr) {
     let ask = Ask::Suspicions(suspicions(d));
-    match peers::ask(d, to, &ask, COMPARE_TIME).await {
-        Ok(Response::Suspicions(told)) => merge(d, &told),
-        Ok(_) => log::debug!("{to} does not say which calls it suspects"),
-        Err(err) => log::debug!("{to} was not asked which calls it suspects: {err}"),
+    match peers::ask(d, to, &ask, COMPARE_TIMEOUT).await {
+        Ok(Response::Suspicions(received)) => merge(d, &received),
+        Ok(_) => log::debug!("{to}: unexpected answer to a comparison of suspicions"),
+        Err(err) => log::debug!("{to}: comparison of suspicions failed: {err}"),
     }
 }
 
-/// Reads the quarantines that the store keeps, then keeps this daemon's there and
-/// forgets old ones, until cancelled.
+/// Reads the quarantines from the store, then writes those of this daemon to it and drops
+/// old suspicions, until cancelled.
 pub async fn run(d: Arc<Daemon>) {
-    let mut last = None;
-    let mut is_lost = false;
+    let mut last_read = None;
+    let mut is_failing = false;
     loop {
-        let result = round(&d, &mut last).await;
-        if let (Err(err), false) = (&result, is_lost) {
-            log::warn!("quarantine: the store is lost: {err}");
+        let result = maintain(&d, &mut last_read).await;
+        if let (Err(err), false) = (&result, is_failing) {
+            log::warn!("quarantine: the store is not available: {err}");
         }
-        is_lost = result.is_err();
-        smol::Timer::after(LOOK).await;
+        is_failing = result.is_err();
+        smol::Timer::after(MAINTENANCE_INTERVAL).await;
     }
 }
 
-/// The last reading of the quarantines that the store keeps.
+/// The last read of the quarantines in the store.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct Reading {
+struct StoreRead {
     /// The store's era.
     era: u64,
-    /// Whether it was certainly not old.
+    /// Whether the read returned current data, not data that may be seconds old.
     is_current: bool,
 }
 
-/// Does what is due.
-async fn round(d: &Arc<Daemon>, last: &mut Option<Reading>) -> Result<(), PlatformError> {
+/// Runs one round: drops old suspicions, reads the quarantines from the store where that is
+/// due, and writes those that are not saved yet.
+async fn maintain(d: &Arc<Daemon>, last_read: &mut Option<StoreRead>) -> Result<(), PlatformError> {
     lock(&d.quarantine.suspects).sweep(d.clock.now());
     let era = d.platform.era().unwrap_or_default();
-    let is_restored = last.is_some_and(|last| last.era != era);
+    let is_restored = last_read.is_some_and(|read| read.era != era);
     if is_restored {
-        restored(d, era);
+        handle_restore(d, era);
     }
-    let is_current = last.is_some_and(|last| last.is_current);
-    if last.is_none() || is_restored || (!is_current && d.follows.load(Ordering::Relaxed)) {
-        *last = Some(read(d).await?);
+    let is_current = last_read.is_some_and(|read| read.is_current);
+    if last_read.is_none() || is_restored || (!is_current && d.follows.load(Ordering::Relaxed)) {
+        *last_read = Some(read_stored(d).await?);
     }
     let unsaved = lock(&d.quarantine.suspects).unsaved(d.clock.now());
     for suspicion in unsaved {
@@ -220,22 +228,23 @@
     Ok(())
 }
 
-/// Keeps quarantines again where the store came back from a copy. Those that keep them
-/// may have ended since, so that whoever follows the store keeps all that it knows.
-fn restored(d: &Daemon, era: u64) {
+/// Marks quarantines to be written again after the store was restored from a copy. The
+/// daemons that wrote them may have ended since, so that followers write all quarantines
+/// that they hold, and other daemons only their own.
+fn handle_restore(d: &Daemon, era: u64) {
     let all = d.follows.load(Ordering::Relaxed);
-    let kept = lock(&d.quarantine.suspects).mark_lost(all, d.clock.now());
-    log::warn!("the store came back from a copy, era {era}: {kept} quarantines are kept again");
+    let count = lock(&d.quarantine.suspects).mark_lost(all, d.clock.now());
+    log::warn!("the store was restored from a copy, era {era}: {count} quarantines to rewrite");
     d.metrics.incr("platform.restored");
 }
 
-/// Reads the quarantines that the store keeps.
+/// Reads the quarantines from the store: followers read current data, other daemons data
+/// that may be seconds old, which costs the store a tenth. A daemon that becomes a follower
+/// later reads again; the others receive from followers what their own read missed.
 ///
-/// Failure: hundreds of daemons that start read what is there now, most of them nothing.
-/// Symptom: half of all calls to the store are these. A reading that may be seconds old
-/// costs it a tenth; those that follow the store read again what is there now, and the
-/// others hear from them.
-async fn read(d: &Arc<Daemon>) -> Result<Reading, PlatformError> {
+/// Failure: hundreds of daemons that start all read current data, and most find no
+/// quarantine. Symptom: these reads are half of all calls to the store.
+async fn read_stored(d: &Arc<Daemon>) -> Result<StoreRead, PlatformError> {
     let is_current = d.follows.load(Ordering::Relaxed);
     let pairs = match is_current {
         true => d.platform.list(keys::QUARANTINE, false).await?,
@@ -243,15 +252,15 @@
     };
     let decoded = pairs.iter().filter_map(|pair| {
         let suspicion = rpc::decode::<Suspicion>(&pair.value);
-        suspicion.inspect_err(|err| log::warn!("{} is damaged: {err}", pair.key)).ok()
+        suspicion.inspect_err(|err| log::warn!("{}: cannot decode: {err}", pair.key)).ok()
     });
-    let told: Vec<_> = decoded.collect();
-    merge(d, &told);
-    Ok(Reading { era: d.platform.era().unwrap_or_default(), is_current })
+    let stored: Vec<_> = decoded.collect();
+    merge(d, &stored);
+    Ok(StoreRead { era: d.platform.era().unwrap_or_default(), is_current })
 }
 
 async fn save(d: &Daemon, suspicion: &Suspicion) -> Result<(), PlatformError> {
-    let lease = d.platform.grant(KEPT_FOR).await?;
+    let lease = d.platform.grant(STORE_TTL).await?;
     let key = keys::quarantine(suspicion.call);
     match d.platform.put_leased(&key, &rpc::encode(suspicion), lease).await? {
         Swap::Done => Ok(()),
@@ -259,12 +268,12 @@
     }
 }
 
-/// Logs news and tells them to others.
-fn take_in(d: &Arc<Daemon>, news: Vec<Suspicion>) {
-    if news.is_empty() {
+/// Logs changed suspicions and queues them to be sent to other daemons.
+fn publish(d: &Arc<Daemon>, changes: Vec<Suspicion>) {
+    if changes.is_empty() {
         return;
     }
-    for suspicion in &news {
+    for suspicion in &changes {
         let Suspicion { call, ended, .. } = suspicion;
         match state(d, *call) {
             QuarantineState::Quarantined { left } => {
@@ -277,28 +286,29 @@
         }
     }
     *lock(&d.quarantine.summary) = None;
-    let mut untold = lock(&d.quarantine.untold);
-    news.into_iter().for_each(|suspicion| untold.push(suspicion.call, suspicion));
-    let _already_said = d.quarantine.news.0.try_send(());
+    let mut pending = lock(&d.quarantine.pending);
+    changes.into_iter().for_each(|suspicion| pending.push(suspicion.call, suspicion));
+    let _wakeup_already_pending = d.quarantine.wakeup.0.try_send(());
 }
 
-/// Tells the others what is news, until cancelled.
+/// Sends changed suspicions to other daemons until cancelled.
 pub async fn send_updates(d: Arc<Daemon>) {
-    while d.quarantine.news.1.recv().await.is_ok() {
-        while tell_round(&d).await {
-            smol::Timer::after(TELL_EVERY).await;
+    while d.quarantine.wakeup.1.recv().await.is_ok() {
+        while send_round(&d).await {
+            smol::Timer::after(GOSSIP_INTERVAL).await;
         }
     }
 }
 
-/// Tells one round of news; returns whether there was any.
-async fn tell_round(d: &Daemon) -> bool {
-    let news = lock(&d.quarantine.untold).take_round(PER_DATAGRAM * DATAGRAMS_PER_ROUND);
-    let audience = d.members.audience_at_once();
-    for part in news.chunks(PER_DATAGRAM) {
-        for host in &audience {
-            datagrams::tell_suspicions(d, *host, part.to_vec()).await;
+/// Sends one round of updates; returns whether there were any.
+async fn send_round(d: &Daemon) -> bool {
+    let updates =
+        lock(&d.quarantine.pending).take_round(SUSPICIONS_PER_DATAGRAM * DATAGRAMS_PER_ROUND);
+    let receivers = d.members.audience_at_once();
+    for chunk in updates.chunks(SUSPICIONS_PER_DATAGRAM) {
+        for host in &receivers {
+            datagrams::tell_suspicions(d, *host, chunk.to_vec()).await;
         }
     }
-    !news.is_empty()
+    !updates.is_empty()
 }
