--- a/src/daemon/rollouts/decider.rs
+++ b/src/daemon/rollouts/decider.rs
@@ -1,10 +1,11 @@
-//! The one daemon that decides on a rollout.
+//! The decider of a rollout: the one daemon that controls it.
 //!
-//! Daemons that follow the store see its order there. Whoever holds the key of the
-//! service, under a lease, decides; the lease only says when another one may try. What is
-//! decided is written to a second key, each time on the condition that nobody else wrote
-//! since, and is told to the others after that. A decider that was frozen or cut off and
-//! still believes to decide finds its write refused.
+//! Followers read the order from the store. The daemon that holds the service's decider key,
+//! under a lease, is the decider; the lease only determines when another daemon may try to
+//! become the decider. The decider writes each stage to a second key, on the condition that
+//! no other daemon has written that key since, and only then sends the stage to the other
+//! daemons. So the write of a decider that was frozen or cut off, and still believes to be
+//! the decider, is refused.
 
 use crate::daemon::{Daemon, lock};
 use crate::store::{Lease, Platform, PlatformError, Revision, Swap, keys};
@@ -21,208 +22,236 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(200);
-/// How long a decider's lease lasts without being kept.
-const LEASE: Duration = Duration::from_secs(2);
-/// Time between two renewals of it.
-const KEEP_EVERY: Duration = Duration::from_millis(600);
-/// Time after a failed try to decide before the next.
-const TRY_EVERY: Duration = Duration::from_millis(700);
+/// Time between two rounds of the loop in [`run`].
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a decider's lease lasts without a renewal.
+const LEASE_TTL: Duration = Duration::from_secs(2);
+/// Time between two renewals of the lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(600);
+/// Minimum time between two attempts to become the decider of an order.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Rollouts that this daemon decides on, by service.
-pub type Decisions = BTreeMap<String, Decision>;
+/// The rollouts that this daemon is the decider of, by service.
+pub type OwnedRollouts = BTreeMap<String, OwnedRollout>;
 
-/// One of them.
-pub struct Decision {
+/// A rollout that this daemon is the decider of.
+pub struct OwnedRollout {
     decider: Decider,
     lease: Lease,
-    kept: Instant,
-    /// Position of the last write of the key that holds what was decided.
+    /// When the lease was granted or last renewed.
+    renewed: Instant,
+    /// Position of the last write of the key that holds the [`StoredRollout`].
     revision: Revision,
+    /// When the order was first seen, in Unix milliseconds.
     began_ms: u64,
 }
 
-/// What the store holds of a rollout.
+/// The state of a rollout in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Kept {
+struct StoredRollout {
     stage: Stage,
     /// When the order was first seen, in Unix milliseconds.
     began_ms: u64,
-    /// Calls that reached the service and were reported.
+    /// Calls that reached the service and were reported to deciders.
     seen: u64,
     /// Calls granted to canaries.
     granted: u64,
 }
 
-/// Decides on rollouts until cancelled.
+/// Advances the rollouts that this daemon is the decider of, and tries to become the decider
+/// of others, until cancelled.
 pub async fn run(d: Arc<Daemon>) {
-    let mut tried: HashMap<String, Instant> = HashMap::new();
-    let mut told_in: HashMap<String, u64> = HashMap::new();
+    let mut last_attempts: HashMap<String, Instant> = HashMap::new();
+    // The eras in which the results of rollouts were last written again, by service.
+    let mut result_eras: HashMap<String, u64> = HashMap::new();
     let mut eras = Eras::default();
     loop {
-        smol::Timer::after(LOOK).await;
-        eras.look(d.platform.era(), d.clock.now());
-        if lock(&d.rollouts.orders).is_empty() && lock(&d.rollouts.decisions).is_empty() {
+        smol::Timer::after(ROUND_INTERVAL).await;
+        eras.update(d.platform.era(), d.clock.now());
+        if lock(&d.rollouts.orders).is_empty() && lock(&d.rollouts.owned).is_empty() {
             continue;
         }
         let orders: Vec<Order> = lock(&d.rollouts.orders).values().cloned().collect();
-        let deciding: Vec<String> = lock(&d.rollouts.decisions).keys().cloned().collect();
-        for service in deciding {
+        let owned: Vec<String> = lock(&d.rollouts.owned).keys().cloned().collect();
+        for service in owned {
             let order = orders.iter().find(|order| order.service == service);
-            if let Err(err) = go_on(&d, &service, order).await {
-                log::warn!("rollout of {service}: not decided further: {err}");
+            if let Err(err) = advance(&d, &service, order).await {
+                log::warn!("rollout of {service}: no progress: {err}");
                 d.metrics.incr("platform.failed");
             }
         }
         for order in orders {
             let now = d.clock.now();
-            let is_due = tried.get(&order.service).is_none_or(|at| now >= *at + TRY_EVERY);
+            let is_due =
+                last_attempts.get(&order.service).is_none_or(|at| now >= *at + ATTEMPT_INTERVAL);
             if eras.has_just_changed(now) && has_live_decider(&d, &order) {
                 continue;
             }
-            if is_due && is_open(&d, &order) {
-                tried.insert(order.service.clone(), now);
-                if let Err(err) = try_to_decide(&d, &order).await {
-                    log::info!("rollout of {}: not taken on: {err}", order.service);
+            if is_due && may_acquire(&d, &order) {
+                last_attempts.insert(order.service.clone(), now);
+                if let Err(err) = try_acquire(&d, &order).await {
+                    log::info!(
+                        "rollout of {}: failed to start as the decider: {err}",
+                        order.service
+                    );
                 }
-            } else if is_due && is_untold(&d, &order, &told_in) {
-                tried.insert(order.service.clone(), now);
-                match tell_again(&d, &order).await {
-                    Ok(()) => drop(told_in.insert(order.service.clone(), order.read_in_era)),
-                    Err(err) => log::info!("rollout of {}: not told: {err}", order.service),
+            } else if is_due && must_rewrite_result(&d, &order, &result_eras) {
+                last_attempts.insert(order.service.clone(), now);
+                match rewrite_result(&d, &order).await {
+                    Ok(()) => drop(result_eras.insert(order.service.clone(), order.read_in_era)),
+                    Err(err) => {
+                        log::info!("rollout of {}: cannot rewrite the result: {err}", order.service)
+                    }
                 }
             }
         }
     }
 }
 
-/// The store's eras, as this daemon learns of them.
+/// The store's eras that this daemon has seen.
 #[derive(Default)]
 struct Eras {
     last: Option<u64>,
+    /// When the era last changed.
     changed: Option<Instant>,
 }
 
 impl Eras {
-    fn look(&mut self, era: Option<u64>, now: Instant) {
+    fn update(&mut self, era: Option<u64>, now: Instant) {
         if self.last.is_some() && self.last != era {
             self.changed = Some(now);
         }
         self.last = era.or(self.last);
     }
 
-    /// Returns whether leases of the era before would still last.
+    /// Returns whether a daemon may still act on a lease of the previous era: the era changed
+    /// less than the lease's time to live ago.
     fn has_just_changed(&self, now: Instant) -> bool {
-        self.changed.is_some_and(|at| now < at + LEASE)
+        self.changed.is_some_and(|at| now < at + LEASE_TTL)
     }
 }
 
-/// Returns whether another daemon that is believed to run was the last to decide on an order.
+/// Returns whether the last decider of an order is another daemon that is believed to run.
 ///
-/// Failure: the store comes back from a copy without the key of the deciding daemon, and
-/// another one reaches the store first. Symptom: two daemons decide one after the other, and
-/// what the first had granted is granted again. A lease that the store forgot is respected
-/// for as long as it would have lasted.
+/// Failure: the store is restored from a copy without the decider key, and another daemon
+/// reaches the store before the decider does. Symptom: two daemons decide one after the
+/// other, and calls that the first one granted are granted again. So a lease that is
+/// missing in the copy is respected for as long as it would have lasted, see
+/// [`Eras::has_just_changed`].
 fn has_live_decider(d: &Daemon, order: &Order) -> bool {
     let stage = d.rollouts.stage(&order.service);
     let decider = stage.filter(|stage| stage.order == order.revision).map(|stage| stage.decider);
-    let is_live = |host| d.members.all().iter().any(|of| of.host == host && of.is_live());
+    let is_live =
+        |host| d.members.all().iter().any(|record| record.host == host && record.is_live());
     decider.is_some_and(|decider| decider != d.me && is_live(decider))
 }
 
-/// Returns whether an order needs somebody to decide, as far as is known here.
-fn is_open(d: &Daemon, order: &Order) -> bool {
+/// Returns whether this daemon may try to become the decider of an order: it follows the
+/// store, does not own the rollout yet, and has received no stage that ends or supersedes
+/// the order.
+fn may_acquire(d: &Daemon, order: &Order) -> bool {
     let has_ended = d.rollouts.stage(&order.service).is_some_and(|stage| {
         let has_ended = stage.order == order.revision && stage.phase.is_final();
         has_ended || stage.order.supersedes(order.revision)
     });
-    let decides_here = lock(&d.rollouts.decisions).contains_key(&order.service);
-    !has_ended && !decides_here && d.follows.load(Ordering::Relaxed)
+    let is_owned = lock(&d.rollouts.owned).contains_key(&order.service);
+    !has_ended && !is_owned && d.follows.load(Ordering::Relaxed)
 }
 
-/// Returns whether the store came back from a copy since a rollout ended, so that the
-/// operator may not know how.
-fn is_untold(d: &Daemon, order: &Order, told_in: &HashMap<String, u64>) -> bool {
-    let is_rewritten = order.read_in_era > order.revision.era;
-    let is_told = told_in.get(&order.service) == Some(&order.read_in_era);
-    is_rewritten && !is_told && d.follows.load(Ordering::Relaxed)
+/// Returns whether the result of a rollout has to be written again: the store was restored
+/// from a copy since the order was first seen, and may lack the result.
+fn must_rewrite_result(d: &Daemon, order: &Order, result_eras: &HashMap<String, u64>) -> bool {
+    let is_restored = order.read_in_era > order.revision.era;
+    let is_written = result_eras.get(&order.service) == Some(&order.read_in_era);
+    is_restored && !is_written && d.follows.load(Ordering::Relaxed)
 }
 
-/// Tells the operator again how a rollout ended.
-async fn tell_again(d: &Daemon, order: &Order) -> Result<(), PlatformError> {
+/// Writes the result of a rollout again, if the rollout has ended.
+async fn rewrite_result(d: &Daemon, order: &Order) -> Result<(), PlatformError> {
     let stage = d.rollouts.stage(&order.service);
     let ended = stage.filter(|stage| stage.order == order.revision && stage.phase.is_final());
     match ended {
-        Some(stage) => write_status(d, order, state_of(&stage.phase)).await,
+        Some(stage) => write_status(d, order, status_of(&stage.phase)).await,
         None => Ok(()),
     }
 }
 
-/// Takes a rollout on if nobody holds its key.
-async fn try_to_decide(d: &Arc<Daemon>, order: &Order) -> Result<(), PlatformError> {
+/// Becomes the decider of an order if no daemon holds the decider key.
+async fn try_acquire(d: &Arc<Daemon>, order: &Order) -> Result<(), PlatformError> {
     let key = keys::decider(&order.service);
     if d.platform.get(&key).await?.is_some() {
         return Ok(());
     }
-    let lease = d.platform.grant(LEASE).await?;
+    let lease = d.platform.grant(LEASE_TTL).await?;
     let now = d.clock.now();
     match d.platform.swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease)).await {
         Ok(Swap::Done) => {}
         Ok(Swap::Lost) => return d.platform.revoke(lease).await,
         Err(err) => {
-            let _ends_by_itself = d.platform.revoke(lease).await;
+            let _lease_expires_anyway = d.platform.revoke(lease).await;
             return Err(err);
         }
     }
-    let kept = d.platform.get(&keys::rollout(&order.service)).await?;
-    let revision = kept.as_ref().map_or(Revision::ABSENT, |pair| pair.revision);
-    let kept = kept.and_then(|pair| {
-        let kept = rpc::decode::<Kept>(&pair.value);
-        kept.inspect_err(|err| log::warn!("{} is damaged: {err}", pair.key)).ok()
+    let pair = d.platform.get(&keys::rollout(&order.service)).await?;
+    let revision = pair.as_ref().map_or(Revision::ABSENT, |pair| pair.revision);
+    let stored = pair.and_then(|pair| {
+        let stored = rpc::decode::<StoredRollout>(&pair.value);
+        stored.inspect_err(|err| log::warn!("{}: cannot decode: {err}", pair.key)).ok()
     });
-    let before = kept.filter(|kept| kept.stage.order == order.revision);
-    let (decider, began_ms) = begin(d, order, before, now);
+    let stored = stored.filter(|stored| stored.stage.order == order.revision);
+    let (decider, began_ms) = create_decider(d, order, stored, now);
     let ended = decider.phase().filter(|phase| phase.is_final()).cloned();
-    let decision = Decision { decider, lease, kept: now, revision, began_ms };
-    lock(&d.rollouts.decisions).insert(order.service.clone(), decision);
+    let rollout = OwnedRollout { decider, lease, renewed: now, revision, began_ms };
+    lock(&d.rollouts.owned).insert(order.service.clone(), rollout);
     match ended {
-        // The one before may have ended before it could tell.
+        // The previous decider may have ended before it could write the status.
         Some(phase) => {
-            log::info!("rollout of {}: had ended, {}", order.service, phase.name());
-            end(d, order, &phase).await
+            log::info!("rollout of {}: had already ended, {}", order.service, phase.name());
+            finish(d, order, &phase).await
         }
         None => {
-            log::info!("rollout of {} to {}: decided here", order.service, order.target);
+            log::info!(
+                "rollout of {} to {}: this daemon is the decider",
+                order.service,
+                order.target
+            );
             d.metrics.incr("rollout.taken_on");
             write_status(d, order, RolloutState::Running).await
         }
     }
 }
 
-fn begin(d: &Daemon, order: &Order, before: Option<Kept>, now: Instant) -> (Decider, u64) {
-    let allowed = d.settings.rollouts;
-    let bounds = Bounds { share: allowed.share, slack: allowed.slack };
-    let wall = d.clock.wall_ms();
-    // What others know may be newer than what a store has that came back from a copy.
-    let known = d.rollouts.stage(&order.service).filter(|stage| stage.order == order.revision);
-    let known = known.map(|stage| (stage.step, stage.phase));
-    let step_of = |before: &Option<(u32, Phase)>| before.as_ref().map(|(step, _)| *step);
-    let (before, began_ms, seen, granted) = match before {
-        Some(Kept { stage, began_ms, seen, granted }) => {
+/// Creates the decider of an order, which continues from the stored state or from a later
+/// stage that this daemon has received; also returns when the order was first seen, in Unix
+/// milliseconds.
+fn create_decider(
+    d: &Daemon,
+    order: &Order,
+    stored: Option<StoredRollout>,
+    now: Instant,
+) -> (Decider, u64) {
+    let settings = d.settings.rollouts;
+    let bounds = Bounds { share: settings.share, slack: settings.slack };
+    let wall_ms = d.clock.wall_ms();
+    // If the store was restored from a copy, other daemons may have sent a later stage.
+    let received = d.rollouts.stage(&order.service).filter(|stage| stage.order == order.revision);
+    let received = received.map(|stage| (stage.step, stage.phase));
+    let step_of = |state: &Option<(u32, Phase)>| state.as_ref().map(|(step, _)| *step);
+    let (stored, began_ms, seen, granted) = match stored {
+        Some(StoredRollout { stage, began_ms, seen, granted }) => {
             (Some((stage.step, stage.phase)), began_ms, seen, granted)
         }
-        None => (None, wall, 0, 0),
+        None => (None, wall_ms, 0, 0),
     };
-    let latest = if step_of(&known) > step_of(&before) { known } else { before };
+    let latest = if step_of(&received) > step_of(&stored) { received } else { stored };
     let Some((step, phase)) = latest else {
         let decider = Decider::new(order.clone(), bounds, now, 0, None, Account::default());
-        return (decider, wall);
+        return (decider, wall_ms);
     };
-    // Clocks differ between hosts; what was passed is at most the order's whole time.
-    let passed = Duration::from_millis(wall.saturating_sub(began_ms)).min(order.duration);
-    let began = now.checked_sub(passed).unwrap_or(now);
-    // Grants may have been written that the copy does not have.
+    // The clocks of hosts differ, so the elapsed time is limited to the order's duration.
+    let elapsed = Duration::from_millis(wall_ms.saturating_sub(began_ms)).min(order.duration);
+    let began = now.checked_sub(elapsed).unwrap_or(now);
+    // A copy from which the store was restored may lack the last grants.
     let account = match d.platform.era().is_some_and(|era| era > order.revision.era) {
         true => Account::with_unknown_grants(),
         false => Account::taken_over(seen, granted),
@@ -230,77 +259,84 @@
     (Decider::new(order.clone(), bounds, began, step, Some(phase), account), began_ms)
 }
 
-/// Does what is due for a rollout that this daemon decides on.
-async fn go_on(d: &Arc<Daemon>, service: &str, order: Option<&Order>) -> Result<(), PlatformError> {
+/// Advances a rollout that this daemon is the decider of: renews the lease where that is due
+/// and writes the next proposal. `order` is the current order of the service in the store.
+async fn advance(
+    d: &Arc<Daemon>,
+    service: &str,
+    order: Option<&Order>,
+) -> Result<(), PlatformError> {
     let now = d.clock.now();
-    let is_of_now = decides_in_this_era(d, service);
-    let (own, lease, is_due) = {
-        let decisions = lock(&d.rollouts.decisions);
-        let Some(decision) = decisions.get(service) else { return Ok(()) };
-        let is_due = now >= decision.kept + KEEP_EVERY || !is_of_now;
-        (decision.decider.order().clone(), decision.lease, is_due)
+    let is_current_era = has_lease_of_current_era(d, service);
+    let (own_order, lease, is_renewal_due) = {
+        let owned = lock(&d.rollouts.owned);
+        let Some(rollout) = owned.get(service) else { return Ok(()) };
+        let is_renewal_due = now >= rollout.renewed + RENEWAL_INTERVAL || !is_current_era;
+        (rollout.decider.order().clone(), rollout.lease, is_renewal_due)
     };
-    let is_replaced = order.is_some_and(|order| order.revision.supersedes(own.revision));
-    // Looked at also while the store is away: canaries of a worse version get no more.
+    let is_replaced = order.is_some_and(|order| order.revision.supersedes(own_order.revision));
+    // Runs also while the store is unavailable: once the decider finds that the new version
+    // is worse, it raises no more quotas.
     let proposal = match order {
         Some(_) => next_proposal(d, service, now),
         None => Some(Proposal::Phase(Phase::RolledBack, Why::Withdrawn)),
     };
-    if is_due {
-        if !d.platform.keep_alive(lease).await? && !keep_deciding(d, service).await? {
-            log::info!("rollout of {service}: another daemon may decide now");
-            lock(&d.rollouts.decisions).remove(service);
+    if is_renewal_due {
+        if !d.platform.keep_alive(lease).await? && !reacquire(d, service).await? {
+            log::info!("rollout of {service}: lease lost, another daemon may be the decider");
+            lock(&d.rollouts.owned).remove(service);
             return Ok(());
         }
-        if let Some(decision) = lock(&d.rollouts.decisions).get_mut(service) {
-            decision.kept = now;
+        if let Some(rollout) = lock(&d.rollouts.owned).get_mut(service) {
+            rollout.renewed = now;
         }
     }
     if is_replaced {
-        // Another order stands; whoever takes it on begins anew.
-        return let_go(d, service).await;
+        // A later order replaces this one; its decider begins a new rollout.
+        return release(d, service).await;
     }
     match proposal {
-        Some(proposal) => write(d, service, &own, proposal).await,
+        Some(proposal) => write_proposal(d, service, &own_order, proposal).await,
         None => Ok(()),
     }
 }
 
-/// Takes a rollout on again that this daemon decides on, where its key is gone: the store
-/// came back from a copy. Returns whether it did.
+/// Acquires the decider key of an owned rollout again, if the key is gone because the store
+/// was restored from a copy. Returns whether it did.
 ///
-/// Failure: another daemon takes it on from what the copy has. Symptom: canaries get what
-/// was granted since the copy once more, or a verdict turns.
-async fn keep_deciding(d: &Daemon, service: &str) -> Result<bool, PlatformError> {
-    let lost = lock(&d.rollouts.decisions).get(service).map(|decision| decision.lease.era);
-    if lost.is_none() || lost == d.platform.era() {
+/// Failure: another daemon takes over the rollout from the state in the copy. Symptom: what
+/// was granted to canaries after the copy was made is granted once more, or a decision is
+/// reversed.
+async fn reacquire(d: &Daemon, service: &str) -> Result<bool, PlatformError> {
+    let lease_era = lock(&d.rollouts.owned).get(service).map(|rollout| rollout.lease.era);
+    if lease_era.is_none() || lease_era == d.platform.era() {
         return Ok(false);
     }
-    let lease = d.platform.grant(LEASE).await?;
+    let lease = d.platform.grant(LEASE_TTL).await?;
     let (key, holder) = (keys::decider(service), d.settings.host.as_bytes());
     if d.platform.swap(&key, Revision::ABSENT, holder, Some(lease)).await? == Swap::Lost {
         d.platform.revoke(lease).await?;
         return Ok(false);
     }
-    let kept = d.platform.get(&keys::rollout(service)).await?;
-    if let Some(decision) = lock(&d.rollouts.decisions).get_mut(service) {
-        decision.lease = lease;
-        decision.revision = kept.map_or(Revision::ABSENT, |pair| pair.revision);
-        log::warn!("rollout of {service}: decided further over the store's return from a copy");
+    let pair = d.platform.get(&keys::rollout(service)).await?;
+    if let Some(rollout) = lock(&d.rollouts.owned).get_mut(service) {
+        rollout.lease = lease;
+        rollout.revision = pair.map_or(Revision::ABSENT, |pair| pair.revision);
+        log::warn!("rollout of {service}: decider key reacquired, the store was restored");
     }
     Ok(true)
 }
 
-/// Returns whether this daemon decides by a lease of the store's present era.
-fn decides_in_this_era(d: &Daemon, service: &str) -> bool {
-    let held = lock(&d.rollouts.decisions).get(service).map(|decision| decision.lease.era);
-    held.is_some_and(|held| d.platform.era().is_none_or(|era| era == held))
+/// Returns whether the lease of an owned rollout is of the store's current era.
+fn has_lease_of_current_era(d: &Daemon, service: &str) -> bool {
+    let lease_era = lock(&d.rollouts.owned).get(service).map(|rollout| rollout.lease.era);
+    lease_era.is_some_and(|lease_era| d.platform.era().is_none_or(|era| era == lease_era))
 }
 
 fn next_proposal(d: &Daemon, service: &str, now: Instant) -> Option<Proposal> {
     let old = old_upstreams(d, service);
-    let mut decisions = lock(&d.rollouts.decisions);
-    decisions.get_mut(service)?.decider.propose(&old, now)
+    let mut owned = lock(&d.rollouts.owned);
+    owned.get_mut(service)?.decider.propose(&old, now)
 }
 
 /// Returns the upstreams of other versions on hosts that are believed to run.
@@ -313,59 +349,65 @@
     old.map(|endpoint| endpoint.instance).collect()
 }
 
-/// Writes a wish to the store on the condition that nobody wrote since, then tells it.
-async fn write(
+/// Writes a proposal to the store, on the condition that no other daemon has written since,
+/// and then sends a changed stage to the other daemons.
+async fn write_proposal(
     d: &Arc<Daemon>,
     service: &str,
     order: &Order,
     proposal: Proposal,
 ) -> Result<(), PlatformError> {
-    let Some((kept, revision)) = kept_with(d, service, &proposal) else { return Ok(()) };
+    let Some((stored, revision)) = stored_after(d, service, &proposal) else { return Ok(()) };
     let key = keys::rollout(service);
-    let value = rpc::encode(&kept);
+    let value = rpc::encode(&stored);
     let swap = d.platform.swap(&key, revision, &value, None).await;
     if let Err(err) = &swap {
-        log::info!("rollout of {service}: whether a step was written is looked up: {err}");
+        log::info!("rollout of {service}: reading back whether the step was written: {err}");
     }
-    // The answer may be lost, or another daemon may have written.
+    // The answer to the write may be lost, or another daemon may have written.
     let pair = d.platform.get(&key).await?;
-    if !decides_in_this_era(d, service) {
-        // The rollout is taken on again first, and the step is wished again.
+    if !has_lease_of_current_era(d, service) {
+        // The decider key must be reacquired first; then the step is proposed again.
         return Ok(());
     }
     match pair {
         Some(pair) if pair.value == value => {
             log_written(service, &proposal);
-            if let Some(decision) = lock(&d.rollouts.decisions).get_mut(service) {
-                decision.revision = pair.revision;
-                decision.decider.apply(&proposal);
+            if let Some(rollout) = lock(&d.rollouts.owned).get_mut(service) {
+                rollout.revision = pair.revision;
+                rollout.decider.apply(&proposal);
             }
         }
         Some(pair) if pair.revision != revision => {
-            log::warn!("rollout of {service}: another daemon decides");
-            return let_go(d, service).await;
+            log::warn!("rollout of {service}: another daemon is the decider");
+            return release(d, service).await;
         }
-        // Nothing was written; it is wished again.
+        // Nothing was written; the step is proposed again.
         _ => return Ok(()),
     }
-    // A grant concerns the decider alone.
+    // A grant changes nothing for other daemons; they get quotas in answers to reports.
     if let Proposal::Grant(_) = proposal {
         return Ok(());
     }
-    d.rollouts.apply_stage(&kept.stage, d.clock.now());
+    d.rollouts.apply_stage(&stored.stage, d.clock.now());
     publish(d);
-    if kept.stage.phase.is_final() {
+    if stored.stage.phase.is_final() {
         d.metrics.incr("rollout.decided");
-        return end(d, order, &kept.stage.phase).await;
+        return finish(d, order, &stored.stage.phase).await;
     }
     Ok(())
 }
 
-/// Returns what the store is to hold once a wish is written, and what it must hold now.
-fn kept_with(d: &Daemon, service: &str, proposal: &Proposal) -> Option<(Kept, Revision)> {
-    let decisions = lock(&d.rollouts.decisions);
-    let decision = decisions.get(service)?;
-    let decider = &decision.decider;
+/// Returns the state that a proposal writes to the store, and the revision that the stored
+/// state must have before the write.
+fn stored_after(
+    d: &Daemon,
+    service: &str,
+    proposal: &Proposal,
+) -> Option<(StoredRollout, Revision)> {
+    let owned = lock(&d.rollouts.owned);
+    let rollout = owned.get(service)?;
+    let decider = &rollout.decider;
     let account = decider.account();
     let (phase, granted) = match proposal {
         Proposal::Phase(phase, _) => (phase.clone(), account.granted),
@@ -380,8 +422,9 @@
         decider: d.me,
         phase,
     };
-    let kept = Kept { stage, began_ms: decision.began_ms, seen: account.calls_before, granted };
-    Some((kept, decision.revision))
+    let stored =
+        StoredRollout { stage, began_ms: rollout.began_ms, seen: account.calls_before, granted };
+    Some((stored, rollout.revision))
 }
 
 fn log_written(service: &str, proposal: &Proposal) {
@@ -393,13 +436,13 @@
     }
 }
 
-/// Tells the operator how a rollout ended, then lets it go.
-async fn end(d: &Arc<Daemon>, order: &Order, phase: &Phase) -> Result<(), PlatformError> {
-    write_status(d, order, state_of(phase)).await?;
-    let_go(d, &order.service).await
+/// Writes the result of a rollout for the operator, then releases the rollout.
+async fn finish(d: &Arc<Daemon>, order: &Order, phase: &Phase) -> Result<(), PlatformError> {
+    write_status(d, order, status_of(phase)).await?;
+    release(d, &order.service).await
 }
 
-fn state_of(phase: &Phase) -> RolloutState {
+fn status_of(phase: &Phase) -> RolloutState {
     match phase {
         Phase::Completed => RolloutState::Completed,
         Phase::RolledBack => RolloutState::RolledBack,
@@ -407,32 +450,34 @@
     }
 }
 
+/// Writes the status of a rollout for the operator, unless the store holds it already.
 async fn write_status(d: &Daemon, order: &Order, state: RolloutState) -> Result<(), PlatformError> {
     let Some(hosted) = &d.hosted else { return Ok(()) };
     let key = hosted.rollout_status_key(&order.service);
     let status =
         RolloutStatus { service: order.service.clone(), target: order.target.clone(), state };
     let value = hosted.rollout_status(&status);
-    let known = d.platform.get(&key).await?;
-    if known.as_ref().is_some_and(|pair| pair.value == value && pair.revision > order.revision) {
+    let stored = d.platform.get(&key).await?;
+    if stored.as_ref().is_some_and(|pair| pair.value == value && pair.revision > order.revision) {
         return Ok(());
     }
-    let revision = known.map_or(Revision::ABSENT, |pair| pair.revision);
+    let revision = stored.map_or(Revision::ABSENT, |pair| pair.revision);
     match d.platform.swap(&key, revision, &value, None).await? {
         Swap::Done => Ok(()),
         Swap::Lost => Err(PlatformError::NotDone("the status was written meanwhile".to_string())),
     }
 }
 
-async fn let_go(d: &Daemon, service: &str) -> Result<(), PlatformError> {
-    let decision = lock(&d.rollouts.decisions).remove(service);
-    match decision {
-        Some(decision) => d.platform.revoke(decision.lease).await,
+/// Stops being the decider of a rollout, so that another daemon may become it.
+async fn release(d: &Daemon, service: &str) -> Result<(), PlatformError> {
+    let rollout = lock(&d.rollouts.owned).remove(service);
+    match rollout {
+        Some(rollout) => d.platform.revoke(rollout.lease).await,
         None => Ok(()),
     }
 }
 
-/// Puts what is known of rollouts into this daemon's own record.
+/// Copies all stages into this daemon's own membership record, which spreads them.
 pub fn publish(d: &Daemon) {
     let stages = d.rollouts.stages();
     if d.members.own().rollouts != stages {
@@ -440,15 +485,15 @@
     }
 }
 
-/// Takes in the report of a daemon; returns what its canaries may be sent, and for which
-/// epoch.
+/// Handles a daemon's report; returns the epoch and the quotas of the daemon's canaries, or
+/// `None` if this daemon is not the decider of the reported order.
 pub fn on_report(d: &Daemon, report: Report) -> Option<(u32, Quotas)> {
     let now = d.clock.now();
-    let mut decisions = lock(&d.rollouts.decisions);
-    let decision = decisions.get_mut(&report.service)?;
-    if decision.decider.order().revision != report.order {
+    let mut owned = lock(&d.rollouts.owned);
+    let rollout = owned.get_mut(&report.service)?;
+    if rollout.decider.order().revision != report.order {
         return None;
     }
-    let quotas = decision.decider.handle_report(report, now);
-    Some((decision.decider.epoch(), quotas))
+    let quotas = rollout.decider.handle_report(report, now);
+    Some((rollout.decider.epoch(), quotas))
 }
--- a/src/daemon/rollouts/exit.rs
+++ b/src/daemon/rollouts/exit.rs
@@ -1,4 +1,4 @@
-//! What the upstreams of this host are sent and answer while a rollout stands.
+//! Counts and limits of the calls to the upstreams of this host during a rollout.
 
 use super::Rollouts;
 use crate::daemon::gates::local::Local;
@@ -13,72 +13,74 @@
 use std::time::Duration;
 
 /// Counts by the upstream's name in the mesh.
-pub type Counts = HashMap<String, Count>;
+pub type CountsByUpstream = HashMap<String, CallCounts>;
 
-/// What one upstream was sent and answered since its rollout was ordered.
+/// The calls that one upstream was sent and answered since its rollout was ordered.
 #[derive(Clone, Debug, Default)]
-pub struct Count {
+pub struct CallCounts {
+    /// Position of the order that the counts belong to.
     order: Revision,
-    /// Decider for which `sent` and `quota` count.
+    /// Epoch of the decider that `sent` and `quota` belong to.
     pub epoch: u32,
-    /// Calls sent to it.
+    /// Calls sent to the upstream as a canary.
     pub sent: u32,
-    /// Calls that it may be sent.
+    /// Calls that the upstream may be sent as a canary.
     quota: u32,
-    /// What it answered.
+    /// Outcomes of the upstream's calls by kind.
     pub kinds: Kinds,
 }
 
 impl Rollouts {
-    /// Says whether an upstream may be sent a call now, and counts it if so.
+    /// Decides whether an upstream may be sent a call now, and counts the call if the
+    /// upstream is a canary.
     ///
     /// # Errors
     ///
-    /// Returns the refusal of a call that another version is to serve.
+    /// Returns the refusal of a call that an upstream of another version has to serve.
     pub fn admit(&self, d: &Daemon, local: &Local) -> Result<(), Refusal> {
-        if !self.is_any() {
+        if !self.has_stages() {
             return Ok(());
         }
         let endpoint = local.endpoint();
         let Some(stage) = self.stage(&endpoint.service) else { return Ok(()) };
         let is_open = || !self.has_closed(&endpoint.service, d.clock.now());
         let is_old = !endpoint.version.is_empty() && !stage.is_new(&endpoint.version);
-        let is_let_in = match stage.lane(&endpoint.version, &local.name) {
+        let is_admitted = match stage.lane(&endpoint.version, &local.name) {
             Lane::Main => true,
-            Lane::Canary => self.count(&local.name, stage.order).is_some(),
-            // What was on its way when the cutover was told is still served.
+            Lane::Canary => self.count_canary_call(&local.name, stage.order).is_some(),
+            // Calls that other daemons sent before they received the cutover are still served.
             Lane::Held => is_old && is_open(),
         };
-        if is_let_in {
+        if is_admitted {
             return Ok(());
         }
         d.metrics.incr("rollout.held_back");
         Err(Refusal::HeldBack { retry_after: MIN_RETRY_AFTER })
     }
 
-    /// Counts a call to a canary; `None` where it has had what it may.
-    fn count(&self, upstream: &str, order: Revision) -> Option<()> {
+    /// Counts a call to a canary; returns `None` if its quota is used up.
+    fn count_canary_call(&self, upstream: &str, order: Revision) -> Option<()> {
         let mut counts = lock(&self.counts);
         let count = counts.entry(upstream.to_string()).or_default();
-        count.begin(order);
+        count.reset_for(order);
         (count.sent < count.quota).then(|| count.sent += 1)
     }
 
-    /// Takes in how a call ended at an upstream: the time that it took, or nothing where
-    /// the upstream failed it.
+    /// Counts the outcome of a call at an upstream: `took` is the time until the answer was
+    /// complete, or `None` if the upstream failed the call.
     pub fn observe(&self, local: &Local, kind: KindKey, took: Option<Duration>) {
-        if !self.is_any() {
+        if !self.has_stages() {
             return;
         }
         let endpoint = local.endpoint();
         let Some(stage) = self.stage(&endpoint.service) else { return };
-        // One that has just started is slow whatever its version.
+        // An upstream that has just started is slow, whatever its version.
         if stage.phase.is_final() || endpoint.readiness == Readiness::Cold {
             return;
         }
         let mut counts = lock(&self.counts);
         let count = counts.entry(local.name.clone()).or_default();
-        count.begin(stage.order);
+        count.reset_for(stage.order);
         let tally = count.kinds.tally_mut(kind);
         match took {
             Some(took) => tally.record_answer(took),
@@ -86,16 +88,17 @@
         }
     }
 
-    /// Returns what an upstream was sent and answered.
-    pub(super) fn count_of(&self, upstream: &str, order: Revision) -> Count {
+    /// Returns the counts of an upstream.
+    pub(super) fn counts_of(&self, upstream: &str, order: Revision) -> CallCounts {
         let mut counts = lock(&self.counts);
         let count = counts.entry(upstream.to_string()).or_default();
-        count.begin(order);
+        count.reset_for(order);
         count.clone()
     }
 
-    /// Takes in what the decider allows these upstreams.
-    pub(super) fn allow(&self, upstreams: &[String], epoch: u32, quotas: Quotas) {
+    /// Applies the quotas in the answer to a report on `upstreams`. A new epoch restarts
+    /// their counts of sent calls.
+    pub(super) fn apply_quotas(&self, upstreams: &[String], epoch: u32, quotas: Quotas) {
         let mut counts = lock(&self.counts);
         for upstream in upstreams {
             if let Some(count) = counts.get_mut(upstream).filter(|count| count.epoch != epoch) {
@@ -110,10 +113,11 @@
     }
 }
 
-impl Count {
-    fn begin(&mut self, order: Revision) {
+impl CallCounts {
+    /// Restarts the counts from zero if they belong to another order.
+    fn reset_for(&mut self, order: Revision) {
         if self.order != order {
-            *self = Count { order, ..Count::default() };
+            *self = CallCounts { order, ..CallCounts::default() };
         }
     }
 }
--- a/src/daemon/rollouts/mod.rs
+++ b/src/daemon/rollouts/mod.rs
@@ -1,12 +1,13 @@
-//! Rollouts of new versions, as each daemon takes part in them.
+//! Rollouts of new versions: what each daemon does for them.
 //!
-//! [`cicadashift_core::rollout`] decides. Stages travel in membership's records of the
-//! deciding daemon and of those that follow the store; each daemon acts by the highest one
-//! that it knows. [`exit`] counts and limits what the upstreams of this host are sent,
-//! [`report`] tells the decider, and [`decider`] is what one daemon does for all.
+//! [`cicadashift_core::rollout`] has the rules. Stages are spread in the membership records
+//! of the decider and of the followers; each daemon acts on the highest stage that it has
+//! received. [`exit`] counts and limits the calls that the upstreams of this host are sent,
+//! [`report`] sends these counts to the decider, and [`decider`] runs on the one daemon that
+//! decides on a rollout.
 //!
-//! Nothing is read, told or counted while no order stands, but for one look at the orders
-//! whenever a daemon begins to follow the store.
+//! While there is no order, nothing is read, sent or counted, except that a daemon reads
+//! the orders once whenever it becomes a follower.
 
 pub mod decider;
 pub mod exit;
@@ -21,119 +22,131 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time after a daemon has heard of a cutover in which the old upstream beside it is
-/// still sent calls: until then all others have heard, and choose new ones.
-const CLOSE_AFTER: Duration = Duration::from_secs(1);
-/// How long the old upstreams of a completed rollout are kept out; they are stopped at once.
-const COMPLETED_FOR: Duration = Duration::from_secs(10);
-/// What names the canaries of a service apart from it; no service has a space in its name.
-const CANARIES: &str = " canaries";
-
-/// A stage and when this daemon heard of it.
+/// Time after a daemon has received a cutover in which it still sends calls to the old
+/// upstreams on its host. After this time all other daemons have received the cutover and
+/// choose new upstreams.
+const CLOSE_DELAY: Duration = Duration::from_secs(1);
+/// How long upstreams of other versions are held after a rollout was completed. The old
+/// upstreams are stopped as soon as it is completed.
+const HOLD_AFTER_COMPLETION: Duration = Duration::from_secs(10);
+/// Suffix that makes the name of a service the name of its canary lane. Names of services
+/// contain no space, so that no service has the name of a canary lane.
+const CANARY_SUFFIX: &str = " canaries";
+
+/// A stage that this daemon has received.
 #[derive(Clone, Debug)]
-struct Known {
+struct ReceivedStage {
     stage: Stage,
-    /// When its phase was first heard of.
+    /// When the phase of the stage was first received.
     since: Instant,
-    /// Whether upstreams of any version are ordinary ones again.
-    is_over: bool,
+    /// Whether the stage has expired, so that upstreams of all versions are ordinary again.
+    is_expired: bool,
 }
 
-/// What a daemon knows of rollouts.
+/// The rollouts that a daemon takes part in.
 #[derive(Default)]
 pub struct Rollouts {
-    is_any: AtomicBool,
-    stages: Mutex<BTreeMap<String, Known>>,
-    /// Orders as the store has them, where this daemon follows it.
+    has_stages: AtomicBool,
+    /// Stages by service.
+    stages: Mutex<BTreeMap<String, ReceivedStage>>,
+    /// Orders in the store by service, while this daemon follows the store.
     orders: Mutex<BTreeMap<String, Order>>,
-    counts: Mutex<exit::Counts>,
-    decisions: Mutex<decider::Decisions>,
+    counts: Mutex<exit::CountsByUpstream>,
+    owned: Mutex<decider::OwnedRollouts>,
 }
 
 impl Rollouts {
-    /// Returns whether any stage is known.
-    pub fn is_any(&self) -> bool {
-        self.is_any.load(Ordering::Relaxed)
+    /// Returns whether this daemon has received any stage.
+    pub fn has_stages(&self) -> bool {
+        self.has_stages.load(Ordering::Relaxed)
     }
 
-    /// Returns the stage of a service's rollout, unless it is long over.
+    /// Returns the stage of a service's rollout, unless it has expired.
     pub fn stage(&self, service: &str) -> Option<Stage> {
-        if !self.is_any() {
+        if !self.has_stages() {
             return None;
         }
         let stages = lock(&self.stages);
-        stages.get(service).filter(|known| !known.is_over).map(|known| known.stage.clone())
+        stages
+            .get(service)
+            .filter(|received| !received.is_expired)
+            .map(|received| received.stage.clone())
     }
 
-    /// Lets further versions be ordinary ones again, some time after a rollout was
-    /// completed; returns whether any was.
+    /// Expires the stages of rollouts that were completed some time ago, so that upstreams
+    /// of other versions are ordinary again; returns whether there were any.
     ///
-    /// Failure: a later release, which nobody orders, starts upstreams of a third version.
-    /// Symptom: they are held as if they were the old ones, and get no calls.
+    /// Failure: a later release, for which there is no order, starts upstreams of a third
+    /// version. Symptom: they are held like upstreams of the old version, and get no calls.
     fn expire(&self, now: Instant) -> bool {
         let mut stages = lock(&self.stages);
-        let is_due = |known: &&mut Known| {
-            known.stage.phase == Phase::Completed
-                && !known.is_over
-                && now >= known.since + COMPLETED_FOR
+        let is_due = |received: &&mut ReceivedStage| {
+            received.stage.phase == Phase::Completed
+                && !received.is_expired
+                && now >= received.since + HOLD_AFTER_COMPLETION
         };
-        stages.values_mut().filter(is_due).map(|known| known.is_over = true).count() > 0
+        stages.values_mut().filter(is_due).map(|received| received.is_expired = true).count() > 0
     }
 
-    /// Returns all stages.
+    /// Returns all stages, expired ones included.
     pub fn stages(&self) -> Vec<Stage> {
-        lock(&self.stages).values().map(|known| known.stage.clone()).collect()
+        lock(&self.stages).values().map(|received| received.stage.clone()).collect()
     }
 
-    /// Takes a stage in if it outranks what is known; returns whether it does.
+    /// Stores a stage if it outranks the current stage of its service; returns whether it
+    /// does.
     pub fn apply_stage(&self, stage: &Stage, now: Instant) -> bool {
         let mut stages = lock(&self.stages);
-        let known = stages.get(&stage.service);
-        if known.is_some_and(|known| !stage.outranks(&known.stage)) {
+        let current = stages.get(&stage.service);
+        if current.is_some_and(|current| !stage.outranks(&current.stage)) {
             return false;
         }
         let Stage { service, target, step, .. } = stage;
         log::info!("rollout of {service} to {target}: {}, step {step}", stage.phase.name());
-        // Only a new phase begins anew; canaries may change within one.
-        let since = match known {
-            Some(Known { stage: before, since, .. })
+        // The canaries may change within a phase, which does not restart its time.
+        let since = match current {
+            Some(ReceivedStage { stage: before, since, .. })
                 if before.order == stage.order && before.phase.name() == stage.phase.name() =>
             {
                 *since
             }
             _ => now,
         };
-        stages.insert(service.clone(), Known { stage: stage.clone(), since, is_over: false });
-        self.is_any.store(true, Ordering::Relaxed);
+        stages.insert(
+            service.clone(),
+            ReceivedStage { stage: stage.clone(), since, is_expired: false },
+        );
+        self.has_stages.store(true, Ordering::Relaxed);
         true
     }
 
-    /// Returns under which name an upstream is chosen, or nothing where it is not.
+    /// Returns the name of the lane in which an upstream is chosen, or `None` if it is held.
     pub fn lane_name(&self, service: &str, version: &str, upstream: &str) -> Option<String> {
         let lane = self.stage(service).map_or(Lane::Main, |stage| stage.lane(version, upstream));
         match lane {
             Lane::Main => Some(service.to_string()),
-            Lane::Canary => Some(canaries_of(service)),
+            Lane::Canary => Some(canary_lane_name(service)),
             Lane::Held => None,
         }
     }
 
-    /// Returns the name of a service's canaries, where one call is to go to them.
+    /// Returns the name of a service's canary lane if a call is to be sent to a canary;
+    /// `random` is a random number.
     pub fn canary_lane_for_call(&self, service: &str, random: u64) -> Option<String> {
         let is_canary = self.stage(service)?.lane_of_call(random) == Lane::Canary;
-        is_canary.then(|| canaries_of(service))
+        is_canary.then(|| canary_lane_name(service))
     }
 
-    /// Returns whether the old upstreams of a service are sent nothing more from here.
+    /// Returns whether this daemon sends no more calls to old upstreams of a service.
     fn has_closed(&self, service: &str, now: Instant) -> bool {
-        lock(&self.stages).get(service).is_some_and(|known| match known.stage.phase {
-            Phase::Cutover => now >= known.since + CLOSE_AFTER,
+        lock(&self.stages).get(service).is_some_and(|received| match received.stage.phase {
+            Phase::Cutover => now >= received.since + CLOSE_DELAY,
             Phase::Completed => true,
             Phase::Canary { .. } | Phase::RolledBack => false,
         })
     }
 
-    /// Takes in the orders that the store has.
+    /// Replaces all orders by those read from the store.
     pub fn replace_orders(&self, d: &Daemon, pairs: &[Pair]) {
         let mut orders = BTreeMap::new();
         for pair in pairs {
@@ -144,7 +157,7 @@
         *lock(&self.orders) = orders;
     }
 
-    /// Takes in that one order was written.
+    /// Adds an order that was written to the store.
     pub fn add_order(&self, d: &Daemon, pair: &Pair) {
         if let Some(order) = self.decode(d, pair) {
             log::info!("rollout of {} to {} is ordered", order.service, order.target);
@@ -154,21 +167,22 @@
 
     fn decode(&self, d: &Daemon, pair: &Pair) -> Option<Order> {
         let decoded = d.hosted.as_ref()?.order(&pair.value, pair.revision);
-        let order =
-            decoded.inspect_err(|err| log::warn!("{} is no order: {err}", pair.key)).ok()?;
+        let order = decoded
+            .inspect_err(|err| log::warn!("{}: invalid rollout order: {err}", pair.key))
+            .ok()?;
         let stages = lock(&self.stages);
-        let stage = stages.get(&order.service).map(|known| &known.stage);
+        let stage = stages.get(&order.service).map(|received| &received.stage);
         Some(order.with_known_revision(stage))
     }
 
-    /// Takes in that an order was taken back.
+    /// Removes an order that was deleted from the store.
     pub fn withdraw_order(&self, service: &str) {
         if lock(&self.orders).remove(service).is_some() {
-            log::info!("rollout of {service}: the order was taken back");
+            log::info!("rollout of {service}: the order was withdrawn");
         }
     }
 }
 
-fn canaries_of(service: &str) -> String {
-    format!("{service}{CANARIES}")
+fn canary_lane_name(service: &str) -> String {
+    format!("{service}{CANARY_SUFFIX}")
 }
--- a/src/daemon/rollouts/report.rs
+++ b/src/daemon/rollouts/report.rs
@@ -1,4 +1,4 @@
-//! Telling the decider what the upstreams of this host answered.
+//! Reports to the decider on the upstreams of this host.
 
 use super::decider;
 use crate::daemon::{Daemon, peers};
@@ -10,16 +10,15 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Time between two reports.
-const EVERY: Duration = Duration::from_millis(500);
-/// Time for the decider's answer.
-const ASK_TIME: Duration = Duration::from_millis(450);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Time within which the decider must answer.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Reports to deciders until cancelled.
+/// Reports to deciders, and expires and publishes stages, until cancelled.
 pub async fn run(d: Arc<Daemon>) {
     loop {
-        smol::Timer::after(EVERY).await;
-        if !d.rollouts.is_any() {
+        smol::Timer::after(REPORT_INTERVAL).await;
+        if !d.rollouts.has_stages() {
             continue;
         }
         if d.rollouts.expire(d.clock.now()) {
@@ -30,32 +29,34 @@
         }
         for stage in d.rollouts.stages() {
             if !stage.phase.is_final() {
-                tell(&d, &stage).await;
+                send_report(&d, &stage).await;
             }
         }
     }
 }
 
-async fn tell(d: &Arc<Daemon>, stage: &Stage) {
-    let Some(report) = report(d, stage) else { return };
-    let told: Vec<String> = report.upstreams.iter().map(|told| told.upstream.clone()).collect();
+/// Sends a report to the decider and applies the quotas in its answer.
+async fn send_report(d: &Arc<Daemon>, stage: &Stage) {
+    let Some(report) = build_report(d, stage) else { return };
+    let reported: Vec<String> =
+        report.upstreams.iter().map(|entry| entry.upstream.clone()).collect();
     let answer = if stage.decider == d.me {
         decider::on_report(d, report)
     } else {
         let Some(to) = d.members.address(stage.decider) else { return };
-        match peers::ask(d, to, &Ask::Rollout(report), ASK_TIME).await {
+        match peers::ask(d, to, &Ask::Rollout(report), REPORT_TIMEOUT).await {
             Ok(Response::Quotas(answer)) => answer,
-            Ok(_) => return log::debug!("{to} does not decide on {}", stage.service),
-            Err(err) => return log::debug!("{to} was not told of {}: {err}", stage.service),
+            Ok(_) => return log::debug!("{to}: unexpected answer on {}", stage.service),
+            Err(err) => return log::debug!("{to}: report on {} failed: {err}", stage.service),
         }
     };
     if let Some((epoch, quotas)) = answer {
-        d.rollouts.allow(&told, epoch, quotas);
+        d.rollouts.apply_quotas(&reported, epoch, quotas);
     }
 }
 
-/// Returns what is to be told; nothing where no upstream of the service is here.
-fn report(d: &Daemon, stage: &Stage) -> Option<Report> {
+/// Returns the report on a service's upstreams on this host, or `None` if there are none.
+fn build_report(d: &Daemon, stage: &Stage) -> Option<Report> {
     let now = d.clock.now();
     let mut epoch = 0;
     let upstreams: Vec<UpstreamReport> = d
@@ -64,17 +65,17 @@
         .into_iter()
         .filter(|(endpoint, _)| endpoint.service == stage.service && !endpoint.version.is_empty())
         .map(|(endpoint, load)| {
-            let count = d.rollouts.count_of(&endpoint.instance, stage.order);
-            epoch = count.epoch;
+            let counts = d.rollouts.counts_of(&endpoint.instance, stage.order);
+            epoch = counts.epoch;
             let is_new = stage.is_new(&endpoint.version);
             UpstreamReport {
                 is_new,
                 slots: endpoint.slots,
                 is_warm: endpoint.readiness == Readiness::Ready,
-                sent: count.sent,
+                sent: counts.sent,
                 in_flight: (load.running + load.queued) as u32,
                 is_closed: !is_new && d.rollouts.has_closed(&stage.service, now),
-                kinds: count.kinds,
+                kinds: counts.kinds,
                 upstream: endpoint.instance,
             }
         })
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Rollouts of new versions, with real daemons beside stand-in instances of two versions.
+//! Rollouts of new versions, with real daemons and simulated instances of two versions.
 
 mod common;
 
@@ -16,18 +16,20 @@
 
 const STATUS: &str = "status/rollout/notice";
 const ORDER: &str = "op/rollout/notice";
-/// Time that an order gives.
+/// Time within which an ordered rollout must complete.
 const DURATION: Duration = Duration::from_secs(9);
-/// Time in which nothing more may reach a bad version, after its fiftieth bad answer.
-const ROLL_BACK: Duration = Duration::from_secs(5);
+/// Time after the fiftieth bad answer of a version within which it must be rolled back, so
+/// that no more calls reach it.
+const MAX_ROLLBACK_TIME: Duration = Duration::from_secs(5);
 
-/// Instances with an odd place are of the new version.
+/// Returns whether the instance at an index is of the new version: those at odd indices are.
 fn is_new(i: usize) -> bool {
     i % 2 == 1
 }
 
-/// Starts daemons, half beside the old version and half beside the new one.
-async fn two_versions(count: usize) -> HostedFleet {
+/// Starts daemons, half of them with an instance of the old version and half with one of the
+/// new version.
+async fn start_two_versions(count: usize) -> HostedFleet {
     let fleet = HostedFleet::serving(Path::new(env!("CARGO_BIN_EXE_cicadashift")), count).await;
     for i in (0..count).filter(|i| is_new(*i)) {
         fleet.nodes[i].instance.set_version("v2");
@@ -36,6 +38,7 @@
     fleet
 }
 
+/// Orders a rollout as the operator does.
 fn order(fleet: &HostedFleet, target: &str) {
     let order = json!({
         "Service": "notice", "TargetVersion": target, "DurationS": DURATION.as_secs(),
@@ -43,18 +46,19 @@
     fleet.store.put(ORDER, order.to_string().as_bytes());
 }
 
+/// Returns the state in the rollout's status.
 fn state(fleet: &HostedFleet) -> Option<String> {
     let status: Value = serde_json::from_slice(&fleet.store.value(STATUS)?).ok()?;
     status["State"].as_str().map(str::to_string)
 }
 
-/// Requests that ran at instances of a version so far.
+/// Returns how many requests have run so far at the instances of the new or old version.
 fn runs(fleet: &HostedFleet, new: bool) -> usize {
     let nodes = fleet.nodes.iter().enumerate().filter(|(i, _)| is_new(*i) == new);
     nodes.map(|(_, node)| node.instance.seen().len()).sum()
 }
 
-/// Callers that ask all the while; returns their statuses when told to stop.
+/// Callers that send requests until [`Load::end`], which returns the statuses of all answers.
 struct Load {
     stop: Arc<AtomicBool>,
     callers: Vec<smol::Task<Vec<Option<u16>>>>,
@@ -92,10 +96,11 @@
     }
 }
 
-/// Waits until the status has a state; returns after what time.
-async fn until_state(fleet: &HostedFleet, wanted: &str, most: Duration) -> Option<Duration> {
+/// Waits until the status has a state; returns how long that took, or `None` if it took
+/// longer than `timeout`.
+async fn wait_for_state(fleet: &HostedFleet, wanted: &str, timeout: Duration) -> Option<Duration> {
     let started = Instant::now();
-    while started.elapsed() < most {
+    while started.elapsed() < timeout {
         if state(fleet).as_deref() == Some(wanted) {
             return Some(started.elapsed());
         }
@@ -104,12 +109,13 @@
     None
 }
 
-/// Waits until somebody has taken the order on.
-async fn is_running(fleet: &HostedFleet) {
-    let running = until_state(fleet, "running", Duration::from_secs(3)).await;
+/// Waits until a daemon has become the decider of the order.
+async fn wait_until_running(fleet: &HostedFleet) {
+    let running = wait_for_state(fleet, "running", Duration::from_secs(3)).await;
     assert!(running.is_some(), "{}", logs(fleet));
 }
 
+/// Returns the log lines of all daemons that concern rollouts.
 fn logs(fleet: &HostedFleet) -> String {
     let lines = (0..fleet.nodes.len()).map(|i| {
         let log = fleet.log(i);
@@ -121,16 +127,16 @@
 
 #[test]
 fn a_good_version_takes_all_calls_in_time() {
-    // A service is ordered onto a version whose instances run beside the old ones. At
-    // first a few of the new ones get a small share of the calls, then all of them get
-    // all, and the status says so before its time is over. No caller notices, and from
-    // then on no call reaches an old instance, since these are stopped at once.
+    // A rollout to a version without faults. At first a few of its instances get a small
+    // share of the calls, then all of its instances get all calls, and the status is
+    // `completed` within the time of the order. No call fails, and after completion no call
+    // reaches an old instance, since the operator stops these at once.
     run(async {
-        let fleet = two_versions(6).await;
+        let fleet = start_two_versions(6).await;
         let load = Load::start(&fleet, 12);
         order(&fleet, "v2");
-        is_running(&fleet).await;
-        let completed = until_state(&fleet, "completed", DURATION).await;
+        wait_until_running(&fleet).await;
+        let completed = wait_for_state(&fleet, "completed", DURATION).await;
         assert!(completed.is_some(), "{:?} {}", state(&fleet), logs(&fleet));
         let old = runs(&fleet, false);
         smol::Timer::after(Duration::from_millis(500)).await;
@@ -142,21 +148,21 @@
 }
 
 #[test]
-fn a_bad_version_is_taken_back_within_its_bound() {
+fn a_bad_version_is_rolled_back_within_its_bound() {
     // Every answer of the new version is a failure. It gets no more than a tenth of the
-    // calls and fifty; soon after its fiftieth failure the status says that it is rolled
-    // back, and then no call reaches it. Callers get their answers from the old version.
+    // calls plus fifty. Soon after its fiftieth failure the status is `rolled_back`, and then
+    // no call reaches it. No call fails, since the old version answers in its place.
     run(async {
-        let fleet = two_versions(6).await;
+        let fleet = start_two_versions(6).await;
         order(&fleet, "v2");
-        // Until all know of the order a new version is an ordinary one.
-        is_running(&fleet).await;
+        // Daemons that have not received the order treat the new version as an ordinary one.
+        wait_until_running(&fleet).await;
         smol::Timer::after(Duration::from_secs(1)).await;
         for i in (0..6).filter(|i| is_new(*i)) {
             fleet.nodes[i].instance.set_manner(Manner::Failing);
         }
         let load = Load::start(&fleet, 12);
-        let back = until_state(&fleet, "rolled_back", ROLL_BACK).await;
+        let back = wait_for_state(&fleet, "rolled_back", MAX_ROLLBACK_TIME).await;
         assert!(back.is_some(), "{:?} {}", state(&fleet), logs(&fleet));
         smol::Timer::after(Duration::from_millis(300)).await;
         let (new, old) = (runs(&fleet, true), runs(&fleet, false));
@@ -170,33 +176,34 @@
 }
 
 #[test]
-fn another_daemon_goes_on_where_the_deciding_one_is_killed() {
-    // The daemon that decides is killed while canaries are under way. Another one finds
-    // its key gone after two seconds, reads how far it was, and completes the rollout.
+fn another_daemon_takes_over_when_the_decider_is_killed() {
+    // The decider is killed in the canary phase. Its key expires after two seconds; then
+    // another daemon takes over from the stored state and completes the rollout.
     run(async {
-        let mut fleet = two_versions(6).await;
+        let mut fleet = start_two_versions(6).await;
         let load = Load::start(&fleet, 12);
         order(&fleet, "v2");
-        is_running(&fleet).await;
-        let decides = (0..6).find(|i| fleet.log(*i).contains("decided here"));
-        let decides = decides.expect("somebody decides");
-        fleet.kill(decides);
-        fleet.restart(decides);
-        let completed = until_state(&fleet, "completed", DURATION).await;
+        wait_until_running(&fleet).await;
+        let decider = (0..6).find(|i| fleet.log(*i).contains("this daemon is the decider"));
+        let decider = decider.expect("a daemon is the decider");
+        fleet.kill(decider);
+        fleet.restart(decider);
+        let completed = wait_for_state(&fleet, "completed", DURATION).await;
         assert!(completed.is_some(), "{:?} {}", state(&fleet), logs(&fleet));
         load.end().await;
     });
 }
 
 #[test]
-fn an_order_whose_instances_never_come_is_rolled_back() {
-    // An operator mistypes the version. Nothing of it is there, so nothing is proven; when
-    // the time is nearly over the status says that it is rolled back, and nobody notices.
+fn an_order_without_instances_is_rolled_back() {
+    // The ordered version has no instances, for instance because the operator mistyped it.
+    // So nothing can be proven, and shortly before the time of the order is over the status
+    // is `rolled_back`. No call fails.
     run(async {
-        let fleet = two_versions(4).await;
+        let fleet = start_two_versions(4).await;
         let load = Load::start(&fleet, 4);
         order(&fleet, "v3");
-        let back = until_state(&fleet, "rolled_back", DURATION).await;
+        let back = wait_for_state(&fleet, "rolled_back", DURATION).await;
         assert!(back.is_some(), "{:?} {}", state(&fleet), logs(&fleet));
         let statuses = load.end().await;
         assert!(statuses.iter().all(|status| *status == Some(200)));
@@ -204,15 +211,15 @@
 }
 
 #[test]
-fn a_restart_of_all_daemons_in_the_middle_comes_to_an_end() {
-    // All daemons are killed while canaries are under way, and start again. Nobody
-    // remembers how far it was; the store does. The rollout comes to an end in its time,
-    // and then callers are served.
+fn a_rollout_ends_in_time_after_a_restart_of_all_daemons() {
+    // All daemons are killed in the canary phase and start again, so that only the store has
+    // the state of the rollout. The rollout ends within its time, and then calls are
+    // answered.
     run(async {
-        let mut fleet = two_versions(6).await;
+        let mut fleet = start_two_versions(6).await;
         let load = Load::start(&fleet, 12);
         order(&fleet, "v2");
-        is_running(&fleet).await;
+        wait_until_running(&fleet).await;
         smol::Timer::after(Duration::from_secs(1)).await;
         (0..6).for_each(|i| fleet.kill(i));
         (0..6).for_each(|i| fleet.restart(i));
@@ -237,14 +244,15 @@
 
 #[test]
 fn without_the_store_a_bad_version_gets_no_more_than_its_bound() {
-    // The store goes away while canaries are under way, and then the new version begins to
-    // fail. Nothing can be written, so that no status changes; what canaries were granted
-    // is all that they get. Once the store is back it is rolled back.
+    // The store becomes unavailable in the canary phase, and then the new version begins to
+    // fail. Nothing can be written, so that the status can't change and the canaries get no
+    // more calls than they were granted before. Once the store is back, the version is
+    // rolled back.
     run(async {
-        let fleet = two_versions(6).await;
+        let fleet = start_two_versions(6).await;
         let load = Load::start(&fleet, 12);
         order(&fleet, "v2");
-        is_running(&fleet).await;
+        wait_until_running(&fleet).await;
         smol::Timer::after(Duration::from_millis(1500)).await;
         fleet.store.fault(|faults| faults.down = Some(Down::Busy));
         let (new, old) = (runs(&fleet, true), runs(&fleet, false));
@@ -255,7 +263,7 @@
         let (new, old) = (runs(&fleet, true) - new, runs(&fleet, false) - old);
         assert!(new as f64 <= 0.1 * (new + old) as f64 + 50.0, "{new} of {}", new + old);
         fleet.store.fault(|faults| faults.down = None);
-        let back = until_state(&fleet, "rolled_back", Duration::from_secs(3)).await;
+        let back = wait_for_state(&fleet, "rolled_back", Duration::from_secs(3)).await;
         assert!(back.is_some(), "{:?} {}", state(&fleet), logs(&fleet));
         let statuses = load.end().await;
         let bad = statuses.iter().filter(|status| **status != Some(200)).count();
@@ -264,23 +272,23 @@
 }
 
 #[test]
-fn an_order_that_is_taken_back_ends_its_rollout_and_another_one_may_follow() {
-    // An operator takes an order back while canaries are under way: the new version gets
-    // nothing from then on. The same version, ordered again, goes in.
+fn a_withdrawn_order_ends_its_rollout_and_another_one_may_follow() {
+    // The operator withdraws the order in the canary phase: the new version gets no more
+    // calls. A second order of the same version completes.
     run(async {
-        let fleet = two_versions(6).await;
+        let fleet = start_two_versions(6).await;
         let load = Load::start(&fleet, 12);
         order(&fleet, "v2");
-        is_running(&fleet).await;
+        wait_until_running(&fleet).await;
         fleet.store.revoke(ORDER);
-        let back = until_state(&fleet, "rolled_back", Duration::from_secs(3)).await;
+        let back = wait_for_state(&fleet, "rolled_back", Duration::from_secs(3)).await;
         assert!(back.is_some(), "{:?} {}", state(&fleet), logs(&fleet));
         smol::Timer::after(Duration::from_secs(1)).await;
         let new = runs(&fleet, true);
         smol::Timer::after(Duration::from_millis(500)).await;
         assert_eq!(runs(&fleet, true), new, "{}", logs(&fleet));
         order(&fleet, "v2");
-        let completed = until_state(&fleet, "completed", DURATION).await;
+        let completed = wait_for_state(&fleet, "completed", DURATION).await;
         assert!(completed.is_some(), "{:?} {}", state(&fleet), logs(&fleet));
         let statuses = load.end().await;
         assert!(statuses.iter().all(|status| *status == Some(200)));
@@ -288,11 +296,11 @@
 }
 
 #[test]
-fn versions_that_nobody_ordered_are_ordinary() {
-    // A release starts instances of another version and nobody orders anything: they get
-    // calls as any other, and nothing is written.
+fn versions_without_an_order_are_ordinary() {
+    // A release starts instances of another version without an order: they get calls as any
+    // other instances do, and nothing is written to the store.
     run(async {
-        let fleet = two_versions(4).await;
+        let fleet = start_two_versions(4).await;
         let load = Load::start(&fleet, 4);
         smol::Timer::after(Duration::from_secs(1)).await;
         assert!(runs(&fleet, true) > 0 && runs(&fleet, false) > 0);
