--- a/tests/crashing.rs
+++ b/tests/crashing.rs
@@ -1,5 +1,4 @@
-//! Requests that end the upstreams which run them, with real daemons beside stand-in
-//! instances.
+//! Requests that end the upstreams which run them, with real daemons and simulated instances.
 
 mod common;
 
@@ -14,36 +13,37 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Instances that a request may end before it must be known.
+/// Instances that a request may end before daemons must quarantine it.
 const FREE_ENDS: usize = 3;
-/// Time after which every daemon in touch must know it.
-const KNOWN_AFTER: Duration = Duration::from_secs(3);
-/// Most runs of it after that.
-const LATE_RUNS: usize = 3;
+/// Time after these ends within which every daemon that can be reached must quarantine the
+/// request.
+const QUARANTINE_DELAY: Duration = Duration::from_secs(3);
+/// Maximum number of runs of the request after that.
+const MAX_LATE_RUNS: usize = 3;
 
 async fn serving(count: usize) -> HostedFleet {
     HostedFleet::serving(Path::new(env!("CARGO_BIN_EXE_cicadashift")), count).await
 }
 
-/// Returns the runs of a guilty request over all instances, in their order.
-fn fatal(fleet: &HostedFleet, path: &str) -> Vec<Fatal> {
+/// Returns the runs of a request that ends instances, at all instances, in order of time.
+fn fatal_runs(fleet: &HostedFleet, path: &str) -> Vec<Fatal> {
     let mut runs: Vec<_> = fleet.nodes.iter().flat_map(|node| node.instance.fatal()).collect();
     runs.retain(|run| run.path == path);
     runs.sort_by_key(|run| run.at);
     runs
 }
 
-/// Returns how many runs began when the request had to be known everywhere.
-fn late(runs: &[Fatal]) -> usize {
+/// Returns how many runs began when all daemons should have quarantined the request.
+fn count_late(runs: &[Fatal]) -> usize {
     let Some(third) = runs.get(FREE_ENDS - 1) else { return 0 };
-    let known = third.at + KNOWN_AFTER;
-    runs.iter().filter(|run| run.at > known).count()
+    let deadline = third.at + QUARANTINE_DELAY;
+    runs.iter().filter(|run| run.at > deadline).count()
 }
 
-/// Asks at a daemon again and again until the instances that ended are two; returns when.
-async fn until_known(fleet: &HostedFleet, i: usize, path: &str) -> Instant {
+/// Sends a request to a daemon repeatedly until it has ended two instances; returns when.
+async fn repeat_until_two_ends(fleet: &HostedFleet, i: usize, path: &str) -> Instant {
     let mut n = 0;
-    while fatal(fleet, path).len() < 2 {
+    while fatal_runs(fleet, path).len() < 2 {
         fleet.status(i, path, &format!("known-{i}-{n}")).await;
         n += 1;
         assert!(n < 100, "{}", fleet.log(i));
@@ -52,7 +52,7 @@
     Instant::now()
 }
 
-/// Returns whether an answer says that its request is sent to nobody.
+/// Sends a request; returns whether it is refused because it is quarantined.
 async fn is_quarantined(caller: &HostedCaller, path: &str, id: &str) -> bool {
     let res = caller.call(Method::GET, path, id).await;
     res.is_some_and(|res| {
@@ -61,23 +61,22 @@
     })
 }
 
-/// Waits until a number of daemons know all instances again.
-async fn all_back(fleet: &HostedFleet, count: usize) {
+/// Waits until the first `count` daemons have received the records of `count` instances.
+async fn wait_for_instances(fleet: &HostedFleet, count: usize) {
     for i in 0..count {
         let known = fleet.wait(async |fleet: &HostedFleet| fleet.knows(i, count).await).await;
-        assert!(known, "daemon {i} knows all instances: {}", fleet.log(i));
+        assert!(known, "daemon {i} has not received all instances: {}", fleet.log(i));
     }
 }
 
 #[test]
 fn a_request_that_ends_instances_is_not_sent_on_for_ever() {
-    // A caller asks for something that ends the instance which runs it, and asks again
-    // for seven seconds, under new ids and at each daemon in turn. Every instance that
-    // comes back is ended by it: to each daemon it looked like a new call each time, and
-    // a call that breaks may be sent to a second instance. Of nineteen ends in a row the
-    // logs said no more than nine times "connection closed before message completed"
-    // for nine ids that never came again. Callers of everything else are refused
-    // meanwhile, since no instance is left.
+    // A caller repeats a request that ends the instance which runs it, for seven seconds,
+    // under new ids and at each daemon in turn. Failure: the request ends every instance
+    // that starts again, because each daemon takes it for a new call, and may send a call
+    // that broke to a second instance. Calls to all else are refused meanwhile, since no
+    // instance is left. After nineteen ends in a row, the logs had nothing but nine lines
+    // "connection closed before message completed", for nine ids that never came again.
     run(async {
         let fleet = serving(4).await;
         let path = "/notices/guilty-1";
@@ -85,14 +84,14 @@
         let mut n = 0;
         while Instant::now() < until {
             let status = fleet.status(n % 4, path, &format!("again-{n}")).await;
-            assert_ne!(status, Some(200), "nothing can answer it");
+            assert_ne!(status, Some(200), "no instance can answer it");
             n += 1;
             smol::Timer::after(Duration::from_millis(100)).await;
         }
-        let runs = fatal(&fleet, path);
-        assert!(runs.len() >= 2, "it was not known from the start");
-        let late = late(&runs);
-        assert!(late <= LATE_RUNS, "{late} late runs, {} in all, of {n} calls", runs.len());
+        let runs = fatal_runs(&fleet, path);
+        assert!(runs.len() >= 2, "the request was quarantined from the start");
+        let late = count_late(&runs);
+        assert!(late <= MAX_LATE_RUNS, "{late} late runs, {} in all, of {n} calls", runs.len());
         for n in 0..40 {
             let id = format!("after-{n}");
             assert_eq!(fleet.status(n % 4, &format!("/notices/{n}"), &id).await, Some(200));
@@ -101,10 +100,10 @@
 }
 
 #[test]
-fn callers_at_every_host_that_ask_at_once_are_known_to_all() {
-    // Four callers, one at each of four hosts in two failure domains, ask for the same
-    // at the same moment, over and over. What is under way before the first end is known
-    // may end one instance each; after that the daemons must have told each other.
+fn a_request_sent_at_every_host_at_once_is_quarantined_everywhere() {
+    // Four callers, one at each of four hosts in two failure domains, repeat the same
+    // request at the same time. The calls in flight before the first end is detected may end
+    // one instance each; after that the daemons must have informed each other.
     run(async {
         let fleet = serving(4).await;
         let path = "/notices/guilty-2";
@@ -122,17 +121,17 @@
         for caller in callers {
             caller.await;
         }
-        let runs = fatal(&fleet, path);
-        let late = late(&runs);
-        assert!(late <= LATE_RUNS, "{late} late runs, {} in all", runs.len());
+        let runs = fatal_runs(&fleet, path);
+        let late = count_late(&runs);
+        assert!(late <= MAX_LATE_RUNS, "{late} late runs, {} in all", runs.len());
     });
 }
 
 #[test]
-fn a_caller_that_leaves_before_the_end_is_remembered() {
+fn a_request_whose_caller_gave_up_before_the_end_is_quarantined() {
     // Each time the caller gives up after 40 ms, and the instance that still runs its
-    // request ends 60 ms later. By then the request is at work nowhere, as far as the
-    // daemon beside the instance knows.
+    // request ends 60 ms later. By then the daemon beside the instance no longer counts the
+    // request among the calls in flight.
     run(async {
         let fleet = serving(4).await;
         fleet.nodes.iter().for_each(|node| node.instance.set_work(Duration::from_millis(100)));
@@ -143,21 +142,21 @@
             let id = format!("left-{n}");
             let call = fleet.status(n % 4, path, &id);
             assert_ne!(exec::timeout(Duration::from_millis(40), call).await, Some(Some(200)));
-            // Somebody else's request, which breaks when the instance ends.
+            // A request of another caller, which breaks when the instance ends.
             fleet.status(n % 4, &format!("/notices/{n}"), &format!("other-{n}")).await;
             n += 1;
         }
-        let runs = fatal(&fleet, path);
-        let late = late(&runs);
-        assert!(late <= LATE_RUNS, "{late} late runs, {} in all, of {n} calls", runs.len());
+        let runs = fatal_runs(&fleet, path);
+        let late = count_late(&runs);
+        assert!(late <= MAX_LATE_RUNS, "{late} late runs, {} in all, of {n} calls", runs.len());
     });
 }
 
 #[test]
-fn a_popular_request_keeps_its_name_clean() {
-    // Many callers read the same notice all the while. Twelve different requests end
-    // instance after instance under them, so that the notice is at nearly every end. It
-    // runs well in between, and is never taken for the cause.
+fn a_popular_request_is_not_quarantined() {
+    // Many callers read the same notice repeatedly while twelve other requests end
+    // instances. So the read is in flight at nearly every end. It is answered in between, and
+    // must never be taken for the cause.
     run(async {
         let fleet = serving(4).await;
         let stop = Arc::new(AtomicBool::new(false));
@@ -178,7 +177,7 @@
             .collect();
         for n in 0..12 {
             let path = format!("/notices/guilty-popular-{n}");
-            until_known(&fleet, n % 4, &path).await;
+            repeat_until_two_ends(&fleet, n % 4, &path).await;
         }
         stop.store(true, Ordering::Relaxed);
         for reader in readers {
@@ -188,16 +187,16 @@
 }
 
 #[test]
-fn calls_beside_two_ends_of_a_fresh_fleet_are_served_again() {
-    // The fleet has just started, so that no call has run well anywhere. Two reads that
-    // everybody asks for are at both instances when these end, through no fault of
-    // either. Both are suspected of two ends, and since a quarantined call is sent to
-    // nobody, no good run can ever clear them: callers would be refused for ten minutes.
+fn calls_in_flight_at_two_ends_of_a_new_fleet_are_served_again() {
+    // The fleet has just started, so that no call was answered anywhere yet. Two popular
+    // reads are in flight at both instances when these end for another reason. Both reads
+    // are suspected of two ends. Failure: a quarantined call is sent to no instance, so that
+    // no answer can clear these reads, and they are refused for ten minutes.
     run(async {
         let fleet = serving(2).await;
         fleet.nodes.iter().for_each(|node| node.instance.set_work(Duration::from_millis(300)));
         let paths = ["/notices/popular-1", "/notices/popular-2"];
-        let asking: Vec<_> = (0..16)
+        let calls: Vec<_> = (0..16)
             .map(|n| {
                 let (caller, id) = (fleet.caller(n % 2), format!("cold-{n}"));
                 exec::spawn(async move { caller.call(Method::GET, paths[n / 2 % 2], &id).await })
@@ -205,11 +204,11 @@
             .collect();
         smol::Timer::after(Duration::from_millis(100)).await;
         fleet.nodes.iter().for_each(|node| node.instance.end());
-        for call in asking {
+        for call in calls {
             call.await;
         }
         fleet.nodes.iter().for_each(|node| node.instance.set_work(Duration::from_millis(2)));
-        all_back(&fleet, 2).await;
+        wait_for_instances(&fleet, 2).await;
         for path in paths {
             let served = async |fleet: &HostedFleet| {
                 let id = format!("again-{:08x}", fastrand::u32(..));
@@ -225,10 +224,10 @@
 }
 
 #[test]
-fn instances_that_end_by_themselves_make_no_request_guilty() {
-    // All instances of a failure domain end at once, without any request to blame, under
-    // many requests that differ; a second later those of the other domain. Who asks again
-    // afterwards is served.
+fn instances_that_end_by_themselves_cause_no_quarantine() {
+    // All instances of a failure domain end at once, not because of a request, while many
+    // different requests are in flight; a second later those of the other domain do. The
+    // requests must be answered when they are repeated.
     run(async {
         let fleet = serving(4).await;
         for node in &fleet.nodes {
@@ -236,7 +235,7 @@
         }
         for round in 0..4 {
             let path = |n: usize| format!("/notices/of-{n}");
-            let asking: Vec<_> = (0..24)
+            let calls: Vec<_> = (0..24)
                 .map(|n| {
                     let (caller, id) = (fleet.caller(n % 4), format!("{round}-{n}"));
                     exec::spawn(async move { caller.call(Method::GET, &path(n), &id).await })
@@ -245,10 +244,10 @@
             smol::Timer::after(Duration::from_millis(30)).await;
             let domain = if round % 2 == 0 { 0..2 } else { 2..4 };
             fleet.nodes[domain].iter().for_each(|node| node.instance.end());
-            for call in asking {
+            for call in calls {
                 call.await;
             }
-            all_back(&fleet, 4).await;
+            wait_for_instances(&fleet, 4).await;
             for n in 0..24 {
                 let status = fleet.status(n % 4, &path(n), &format!("after-{round}-{n}")).await;
                 assert_eq!(status, Some(200), "round {round}, request {n}");
@@ -258,9 +257,9 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_is_no_end() {
-    // Every instance breaks its answers off for a while and goes on serving. The same is
-    // asked for twenty times; when answers are whole again it is served.
+fn a_truncated_answer_does_not_count_as_an_end() {
+    // Every instance truncates its answers for a while and continues to serve. The same
+    // request is sent twenty times; once answers are complete again it must be answered.
     run(async {
         let fleet = serving(2).await;
         fleet.nodes.iter().for_each(|node| node.instance.set_manner(Manner::Truncating));
@@ -274,47 +273,47 @@
 }
 
 #[test]
-fn daemons_that_were_frozen_or_started_meanwhile_know_it_too() {
-    // While the daemons of one failure domain learn which request ends instances, one of
-    // the other is frozen and one is down, and the store is away all the while. Three
-    // seconds after they are back, both refuse it, and no further instance ends: they
-    // hear of it from the others.
+fn daemons_that_were_frozen_or_down_receive_the_quarantine() {
+    // While the daemons of one failure domain find out which request ends instances, one
+    // daemon of the other domain is frozen and one is down; the store is unavailable
+    // throughout. Three seconds after they are back, both refuse the request, and no further
+    // instance ends, since they received the quarantine from the other daemons.
     run(async {
         let mut fleet = serving(4).await;
         let path = "/notices/guilty-3";
         fleet.store.fault(|faults| faults.down = Some(Down::Busy));
         fleet.signal(2, "-STOP");
         fleet.kill(3);
-        until_known(&fleet, 0, path).await;
+        repeat_until_two_ends(&fleet, 0, path).await;
         fleet.signal(2, "-CONT");
         fleet.restart(3);
         let ready = async |fleet: &HostedFleet| fleet.is_ready(3).await;
         assert!(fleet.wait(ready).await, "{}", fleet.log(3));
-        smol::Timer::after(KNOWN_AFTER).await;
-        let before = fatal(&fleet, path).len();
+        smol::Timer::after(QUARANTINE_DELAY).await;
+        let before = fatal_runs(&fleet, path).len();
         for i in 0..4 {
             assert!(is_quarantined(&fleet.caller(i), path, &format!("back-{i}")).await, "{i}");
         }
-        assert_eq!(fatal(&fleet, path).len(), before);
+        assert_eq!(fatal_runs(&fleet, path).len(), before);
     });
 }
 
 #[test]
-fn a_daemon_that_starts_without_the_store_learns_it_by_comparing() {
-    // A daemon is down while the others learn which request ends instances, and starts
-    // when all of that has been told. The store is away, so that only a comparison with
-    // another daemon can tell it.
+fn a_daemon_that_starts_without_the_store_receives_the_quarantine_by_comparison() {
+    // A daemon is down while the others find out which request ends instances, and starts
+    // when the others have sent all their updates. The store is unavailable, so that the
+    // daemon can receive the quarantine only by a comparison with another daemon.
     run(async {
         let mut fleet = serving(3).await;
         let path = "/notices/guilty-7";
         fleet.store.fault(|faults| faults.down = Some(Down::Busy));
         fleet.kill(2);
-        until_known(&fleet, 0, path).await;
+        repeat_until_two_ends(&fleet, 0, path).await;
         smol::Timer::after(Duration::from_secs(1)).await;
         fleet.restart(2);
         let ready = async |fleet: &HostedFleet| fleet.is_ready(2).await;
         assert!(fleet.wait(ready).await, "{}", fleet.log(2));
-        smol::Timer::after(KNOWN_AFTER).await;
+        smol::Timer::after(QUARANTINE_DELAY).await;
         let list = quarantine(&fleet, 2, &["list"]).await;
         assert!(list.contains("quarantined for"), "{list}{}", fleet.log(2));
     });
@@ -322,65 +321,67 @@
 
 #[test]
 fn a_quarantine_outlives_a_restart_of_all_daemons() {
-    // The store is away when a request is found to end instances. Once it is back the
-    // quarantine is kept there. Then all daemons are killed in one moment, so that none
-    // remembers; after their start they refuse the request.
+    // The store is unavailable when a request is found to end instances. Once the store is
+    // back, the quarantine is written to it. Then all daemons are killed at once, so that
+    // none has the quarantine in memory; after their start they must refuse the request.
     run(async {
         let mut fleet = serving(3).await;
         let path = "/notices/guilty-4";
         fleet.store.fault(|faults| faults.down = Some(Down::Busy));
-        until_known(&fleet, 1, path).await;
+        repeat_until_two_ends(&fleet, 1, path).await;
         fleet.store.fault(|faults| faults.down = None);
-        let kept =
+        let is_stored =
             async |fleet: &HostedFleet| !fleet.store.keys("cicadashift/quarantine/").is_empty();
-        assert!(fleet.wait(kept).await, "{}", fleet.log(1));
+        assert!(fleet.wait(is_stored).await, "{}", fleet.log(1));
         (0..3).for_each(|i| fleet.kill(i));
         (0..3).for_each(|i| fleet.restart(i));
         for i in 0..3 {
             let ready = async |fleet: &HostedFleet| fleet.is_ready(i).await;
             assert!(fleet.wait(ready).await, "{}", fleet.log(i));
         }
-        all_back(&fleet, 3).await;
-        let before = fatal(&fleet, path).len();
+        wait_for_instances(&fleet, 3).await;
+        let before = fatal_runs(&fleet, path).len();
         for i in 0..3 {
             assert!(is_quarantined(&fleet.caller(i), path, &format!("all-{i}")).await, "{i}");
         }
-        assert_eq!(fatal(&fleet, path).len(), before);
+        assert_eq!(fatal_runs(&fleet, path).len(), before);
     });
 }
 
 #[test]
 fn an_operator_sees_a_quarantine_and_lifts_it() {
-    // A request is quarantined. The operator finds its digest in the list of one daemon
-    // and lifts it at another; it is sent on again, and a further instance ends.
+    // The operator reads the digest of a quarantined request from the list of one daemon and
+    // lifts the quarantine at another. The request is sent to instances again, and a further
+    // instance ends.
     run(async {
         let fleet = serving(3).await;
         let path = "/notices/guilty-5";
-        until_known(&fleet, 0, path).await;
+        repeat_until_two_ends(&fleet, 0, path).await;
         for i in 0..3 {
             let caller = fleet.caller(i);
             let known = async |_: &HostedFleet| is_quarantined(&caller, path, "q").await;
             assert!(fleet.wait(known).await, "{}", fleet.log(i));
         }
         let list = quarantine(&fleet, 2, &["list"]).await;
-        let line = list.lines().find(|line| line.contains("2 ended")).expect("it is listed");
+        let line =
+            list.lines().find(|line| line.contains("2 ended")).expect("the request is listed");
         assert!(line.contains("quarantined for"), "{line}");
-        let call = line.split_whitespace().next().expect("the digest comes first");
+        let call = line.split_whitespace().next().expect("a line begins with the digest");
         assert_eq!(quarantine(&fleet, 1, &["lift", call]).await, "lifted\n");
-        let before = fatal(&fleet, path).len();
+        let before = fatal_runs(&fleet, path).len();
         let ended = async |fleet: &HostedFleet| {
             fleet.status(0, path, "lifted").await;
-            fatal(fleet, path).len() > before
+            fatal_runs(fleet, path).len() > before
         };
         assert!(fleet.wait(ended).await, "{}", fleet.log(0));
     });
 }
 
-/// Runs `cicadashift quarantine` against a daemon; returns what it says.
+/// Runs `cicadashift quarantine` against a daemon; returns its standard output.
 async fn quarantine(fleet: &HostedFleet, i: usize, args: &[&str]) -> String {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_cicadashift"));
     command.arg("quarantine").args(args);
     command.arg("--daemon").arg(fleet.nodes[i].control.to_string());
-    let output = smol::unblock(move || command.output()).await.expect("it can be started");
+    let output = smol::unblock(move || command.output()).await.expect("the command can be started");
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
