--- a/src/daemon/gates/ended.rs
+++ b/src/daemon/gates/ended.rs
@@ -44,7 +44,7 @@
     let has_ended = check(d, local).await;
     if has_ended {
         // A call whose answer broke off half-way is no longer counted as in flight.
-        quarantine::ended(d, &local.name, &[call]);
+        quarantine::record_end(d, &local.name, &[call]);
     }
     has_ended
 }
@@ -80,7 +80,7 @@
     let names: Vec<String> = calls.iter().map(|call| call.to_string()).collect();
     d.metrics.incr("upstream.ended");
     log::warn!("upstream {} ended, {} calls at it: {}", local.name, names.len(), names.join(" "));
-    quarantine::ended(d, &local.name, &calls);
+    quarantine::record_end(d, &local.name, &calls);
     d.gates.remove_lost(d, &local.name);
     true
 }
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -152,7 +152,7 @@
         notice,
     } = datagram;
     liveness::note_received(d, host);
-    quarantine::heard(d, &suspicions);
+    quarantine::merge(d, &suspicions);
     limits::apply_grants(d, &grants);
     if let Some(notice) = notice {
         limits::handle_notice(d, notice).await;
@@ -207,7 +207,7 @@
     if matches!(kind, Kind::Ping | Kind::Ack) {
         check_digest(d, digest, from, sync);
         if suspects != d.quarantine.summary(d.clock.now()) {
-            quarantine::differs(d, from);
+            quarantine::compare_if_due(d, from);
         }
     }
 }
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -155,7 +155,7 @@
         self.live.store(live, Ordering::Relaxed);
         let rollouts: Vec<Stage> = self.announced_rollouts();
         rollouts.iter().for_each(|stage| {
-            d.rollouts.learn(stage, d.clock.now());
+            d.rollouts.apply_stage(stage, d.clock.now());
         });
         d.services.sync(d);
     }
--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -73,8 +73,8 @@
         Ask::Status => Response::Status(status::own(d).to_string()),
         Ask::Quotas => Response::Status(quotas::own(d).to_string()),
         Ask::Suspicions(suspicions) => {
-            quarantine::heard(d, &suspicions);
-            Response::Suspicions(quarantine::all(d))
+            quarantine::merge(d, &suspicions);
+            Response::Suspicions(quarantine::suspicions(d))
         }
         Ask::Rollout(report) => Response::Quotas(decider::on_report(d, report)),
         Ask::Record { rows } => {
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -243,7 +243,7 @@
         .iter()
         .filter_map(|endpoint| {
             let Endpoint { service, version, instance, .. } = endpoint;
-            let name = d.rollouts.lane_of(service, version, instance)?;
+            let name = d.rollouts.lane_name(service, version, instance)?;
             let is_leaving = d.in_band_signals.is_leaving(record.host, instance);
             let info = UpstreamInfo {
                 host: record.host,
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -351,9 +351,9 @@
 fn apply_order_changes(d: &Daemon, changes: &[Change]) {
     for change in changes {
         match change {
-            Change::Put(pair) if d.is_rollout_order(&pair.key) => d.rollouts.take_order(d, pair),
+            Change::Put(pair) if d.is_rollout_order(&pair.key) => d.rollouts.add_order(d, pair),
             Change::Deleted(key) if d.is_rollout_order(key) => {
-                d.rollouts.take_back(key.rsplit('/').next().unwrap_or_default());
+                d.rollouts.withdraw_order(key.rsplit('/').next().unwrap_or_default());
             }
             Change::Put(_) | Change::Deleted(_) => {}
         }
@@ -364,7 +364,7 @@
 async fn read_orders(d: &Daemon) -> Result<(), PlatformError> {
     let Some(hosted) = &d.platform_adapter else { return Ok(()) };
     let pairs = d.store.list(hosted.order_prefix(), false).await?;
-    d.rollouts.take_orders(d, &pairs);
+    d.rollouts.replace_orders(d, &pairs);
     Ok(())
 }
 
@@ -380,7 +380,7 @@
     let (pairs, watch) = d.store.list_and_watch(d.operator_prefix()).await?;
     let is_order = |pair: &&Pair| d.is_rollout_order(&pair.key);
     let orders: Vec<Pair> = pairs.iter().filter(is_order).cloned().collect();
-    d.rollouts.take_orders(d, &orders);
+    d.rollouts.replace_orders(d, &orders);
     for pair in pairs.into_iter().filter(|pair| pair.key == key) {
         install_text(d, Bytes::from(pair.value), pair.revision, "store");
     }
