--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -1,6 +1,6 @@
 //! The port for other daemons: control requests and forwarded calls.
 
-use super::request::tracked::Counted;
+use super::request::tracked::InFlightGuard;
 use super::request::{exit, headers, paced};
 use super::rollouts::decider;
 use super::{Daemon, catch_up, gateway, promotion, quarantine, quotas, reader, stage, status};
@@ -25,9 +25,9 @@
             Ok(cx) => {
                 // Failure: a stop waits for calls, and not for their answers on a busy link.
                 // Symptom: the caller's connection breaks in the middle of an answer.
-                let counted = Counted::new(&d);
+                let counted = InFlightGuard::new(&d);
                 let res = exit::handle(d.clone(), cx, forwarded(req), exit::Origin::Mesh).await;
-                paced::by_link(&d, res).map(|body| body::tied(body, counted))
+                paced::pace_answer(&d, res).map(|body| body::tied(body, counted))
             }
             Err(err) => headers::plain(StatusCode::BAD_REQUEST, &format!("{err}\n")),
         };
--- a/src/daemon/request/answer.rs
+++ b/src/daemon/request/answer.rs
@@ -1,7 +1,7 @@
 //! From the exit daemon's answer to the caller's.
 
 use super::headers;
-use super::payload::{Payload, hold};
+use super::payload::{Payload, buffer};
 use bytes::Bytes;
 use cicadashift_core::request::link::SMALL_BYTES;
 use cicadashift_core::request::retry::Attempt;
@@ -87,8 +87,8 @@
 pub async fn read(mut head: response::Parts, body: Body) -> Result<Answer, &'static str> {
     headers::strip_ours(&mut head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
-    match hold(body, HELD_BYTES, u64::MAX).await {
-        Ok(Payload::Held(buf)) => Ok(Answer { head, body: AnswerBody::Whole(buf) }),
+    match buffer(body, HELD_BYTES, u64::MAX).await {
+        Ok(Payload::Buffered(buf)) => Ok(Answer { head, body: AnswerBody::Whole(buf) }),
         Ok(Payload::Streamed(body, _)) => {
             let body = body.unwrap_or_else(body::empty);
             Ok(Answer { head, body: AnswerBody::Streaming(body) })
--- a/src/daemon/request/attempts/mod.rs
+++ b/src/daemon/request/attempts/mod.rs
@@ -10,7 +10,7 @@
 use super::payload::Payload;
 use super::refuse::{refuse, unknown};
 use super::story::{log_choice, log_missed};
-use super::trial::{self, Permit};
+use super::trial::{self, QuarantineDecision};
 use super::work::Work;
 use crate::daemon::{Daemon, quarantine};
 use cicadashift_core::request::MIN_RETRY_AFTER;
@@ -42,10 +42,10 @@
             return give_up(d, &work, so_far, reason, wait);
         }
         if so_far.trial.is_none() {
-            match trial::permit(d, &work, &mut so_far.doubted).await {
-                Permit::Sent => {}
-                Permit::Tried(trial) => so_far.trial = Some(trial),
-                Permit::Refused { retry_after } => {
+            match trial::wait_for_decision(d, &work, &mut so_far.doubted).await {
+                QuarantineDecision::Send => {}
+                QuarantineDecision::SendAsTrial(trial) => so_far.trial = Some(trial),
+                QuarantineDecision::Refuse { retry_after } => {
                     return give_up(d, &work, so_far, call::QUARANTINED, retry_after);
                 }
             }
@@ -91,7 +91,7 @@
         }
         let has_left_canaries = leave_canaries(&mut work, &mut so_far);
         // What cannot be sent again is refused below, as not run.
-        let may_be_sent = payload.is_left() && !attempt.may_have_arrived();
+        let may_be_sent = payload.is_available() && !attempt.may_have_arrived();
         if has_left_canaries && may_be_sent {
             continue;
         }
@@ -102,7 +102,7 @@
         }
         if reason == call::DISPUTED && may_be_sent {
             so_far.tried.retain(|key| *key != target.choice.key);
-            trial::wait_for_news(d, &mut so_far.doubted).await;
+            trial::wait_for_update(d, &mut so_far.doubted).await;
             continue;
         }
         if let (Attempt::NotRun { retry_after, .. }, call::QUARANTINED) = (attempt, reason) {
@@ -156,7 +156,7 @@
 ) -> RetryDecision {
     let call = CallState {
         repeatable: work.repeatable,
-        replayable: payload.is_left(),
+        replayable: payload.is_available(),
         attempts: so_far.asked(),
         arrivals: so_far.arrivals,
         max_attempts: work.allowed,
--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/second.rs
@@ -7,7 +7,7 @@
 use super::so_far::SoFar;
 use crate::daemon::request::answer::Got;
 use crate::daemon::request::payload::Payload;
-use crate::daemon::request::send::{Patience, send};
+use crate::daemon::request::send::{SendOptions, send};
 use crate::daemon::request::story::{log_choice, log_missed};
 use crate::daemon::request::work::Work;
 use crate::daemon::services::Target;
@@ -34,16 +34,16 @@
         return Got::None(Attempt::Unknown, "body-spent");
     };
     let began = d.clock.now();
-    let patience = match payload.is_left() {
+    let patience = match payload.is_available() {
         true => so_far.patience(target),
         // What cannot be sent again waits where it is.
-        false => Patience { slot: Duration::MAX, ..so_far.patience(target) },
+        false => SendOptions { max_slot_wait: Duration::MAX, ..so_far.patience(target) },
     };
     let mut first = Box::pin(send(d, work, target, body, patience));
     // A suspected call is not sent to two upstreams at once.
     let is_clear = quarantine::standing(d, work.digest) == QuarantineState::Clear;
     let may_double =
-        is_clear && work.repeatable && payload.is_left() && so_far.arrivals + 1 < work.allowed;
+        is_clear && work.repeatable && payload.is_available() && so_far.arrivals + 1 < work.allowed;
     let why = match race(first.as_mut(), late(d, work, target, may_double)).await {
         Raced::First(got) => return got,
         Raced::Second(why) => why,
@@ -66,7 +66,7 @@
     d.metrics.incr("call.doubled");
     log_missed(d, work, target, Attempt::Unknown, why, RetryDecision::Retry, work.started);
     log_choice(d, work, &spare, so_far.asked());
-    let second = Box::pin(send(d, work, &spare, body, Patience::LAST));
+    let second = Box::pin(send(d, work, &spare, body, SendOptions::UNLIMITED));
     better_of(first, second).await
 }
 
--- a/src/daemon/request/attempts/so_far.rs
+++ b/src/daemon/request/attempts/so_far.rs
@@ -1,7 +1,7 @@
 //! What the attempts at a call left behind, and what follows for the next one.
 
 use crate::daemon::request::answer::Answer;
-use crate::daemon::request::send::Patience;
+use crate::daemon::request::send::SendOptions;
 use crate::daemon::request::trial::Trial;
 use crate::daemon::services::Target;
 use cicadashift_core::request::choose::UpstreamKey;
@@ -55,11 +55,15 @@
     }
 
     /// Returns how long the call may wait at the next host.
-    pub fn patience(&self, target: &Target) -> Patience {
+    pub fn patience(&self, target: &Target) -> SendOptions {
         let asks_free = target.has_room && self.asked_free < ASKED_FREE;
-        Patience {
-            link: if self.links_busy < LINKS_ASKED { LINK_BUSY_MOST } else { Duration::MAX },
-            slot: if asks_free { Duration::ZERO } else { Duration::MAX },
+        SendOptions {
+            max_link_backlog: if self.links_busy < LINKS_ASKED {
+                LINK_BUSY_MOST
+            } else {
+                Duration::MAX
+            },
+            max_slot_wait: if asks_free { Duration::ZERO } else { Duration::MAX },
             is_trial: self.trial.is_some(),
         }
     }
--- a/src/daemon/request/digest.rs
+++ b/src/daemon/request/digest.rs
@@ -11,7 +11,7 @@
 //! known before it is sent on. Its length does not: the same body may come in chunks.
 
 use super::headers;
-use super::payload::{MAX_HELD, Payload};
+use super::payload::{MAX_BUFFERED, Payload};
 use cicadashift_core::ids::CallDigest;
 use cicadashift_http::hyper::header;
 use cicadashift_http::hyper::http::request::Parts;
@@ -44,9 +44,9 @@
         payload: &mut Payload,
     ) -> CallDigest {
         let path = head.uri.path_and_query().map_or("", |path| path.as_str());
-        let body = payload.take_begun();
+        let body = payload.take_prefix();
         // How much of a long body was read by then differs with each try.
-        let body = &body[..body.len().min(MAX_HELD)];
+        let body = &body[..body.len().min(MAX_BUFFERED)];
         key.digest(&[
             head.method.as_str().as_bytes(),
             self.host.as_bytes(),
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -2,10 +2,10 @@
 
 use super::attempts;
 use super::digest::Asked;
-use super::payload::{MAX_HELD, hold};
+use super::payload::{MAX_BUFFERED, buffer};
 use super::sender::{self, Sender};
 use super::story::Refuse;
-use super::tracked::Counted;
+use super::tracked::InFlightGuard;
 use super::work::{Work, pick_part};
 use super::{headers, paced};
 use crate::daemon::Daemon;
@@ -46,7 +46,7 @@
 
 /// Answers one caller's request.
 pub async fn handle(d: Arc<Daemon>, peer: SocketAddr, req: Request<Body>) -> Response<Body> {
-    let counted = Counted::new(&d);
+    let counted = InFlightGuard::new(&d);
     let now = d.clock.now();
     let started = match req.extensions().get::<Held>() {
         Some(Held(time)) => {
@@ -68,7 +68,7 @@
         let seconds = CALLER_IDLE_MOST.as_secs();
         headers::set(res.headers_mut(), "keep-alive", &format!("timeout={seconds}"));
     }
-    paced::by_link(&d, res).map(|body| body::tied(body, counted))
+    paced::pace_answer(&d, res).map(|body| body::tied(body, counted))
 }
 
 async fn serve(
@@ -92,9 +92,9 @@
     let sent_by =
         sender::identify(&running.table, &route, &mut head.headers, &d.dialect.organisation);
     let organisation = match sent_by {
-        Sender::Anyone => None,
+        Sender::Anonymous => None,
         Sender::Organisation(account) => Some(account),
-        Sender::Unknown => return no_key(d, &request_id, version, started),
+        Sender::Unauthenticated => return no_key(d, &request_id, version, started),
     };
     if incoming.size_hint().lower() > route.max_body {
         return headers::plain(StatusCode::PAYLOAD_TOO_LARGE, "body is over the route's limit\n");
@@ -125,14 +125,15 @@
     headers::strip_ours(&mut head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
     let turn = head.extensions.remove::<Turn>();
-    let mut payload = match exec::timeout(time, hold(incoming, MAX_HELD, route.max_body)).await {
-        Some(Ok(payload)) => payload,
-        Some(Err(BodyError::TooLong)) => {
-            return headers::plain(StatusCode::PAYLOAD_TOO_LARGE, "body is over the limit\n");
-        }
-        Some(Err(_)) => return headers::plain(StatusCode::BAD_REQUEST, "body is not whole\n"),
-        None => return headers::plain(StatusCode::REQUEST_TIMEOUT, "body came too slowly\n"),
-    };
+    let mut payload =
+        match exec::timeout(time, buffer(incoming, MAX_BUFFERED, route.max_body)).await {
+            Some(Ok(payload)) => payload,
+            Some(Err(BodyError::TooLong)) => {
+                return headers::plain(StatusCode::PAYLOAD_TOO_LARGE, "body is over the limit\n");
+            }
+            Some(Err(_)) => return headers::plain(StatusCode::BAD_REQUEST, "body is not whole\n"),
+            None => return headers::plain(StatusCode::REQUEST_TIMEOUT, "body came too slowly\n"),
+        };
     let sender = organisation.as_ref().map_or("", |account| account.name.as_str());
     let digest = asked_for.digest(&d.key, &head, sender, &mut payload);
     let part = pick_part(&route, fastrand::u64(..)).to_string();
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -2,9 +2,9 @@
 
 use super::headers;
 use super::paced::Expected;
-use super::payload::{Payload, hold};
+use super::payload::{Payload, buffer};
 use super::story::Admit;
-use super::tracked::{Counted, Tracked};
+use super::tracked::{InFlightGuard, Tracked};
 use crate::daemon::gates::ended;
 use crate::daemon::gates::local::{Local, Pass};
 use crate::daemon::in_band::{self, Signals};
@@ -51,7 +51,7 @@
     req: Request<Body>,
     origin: Origin,
 ) -> Response<Body> {
-    let _counted = Counted::new(&d);
+    let _counted = InFlightGuard::new(&d);
     let arrived = d.clock.now();
     let deadline = arrived + Duration::from_millis(u64::from(cx.deadline_ms));
     let Some(local) = d.gates.get(&cx.instance) else {
@@ -264,8 +264,8 @@
             }
         })
     };
-    let body = match hold(whole, HELD_BYTES, u64::MAX).await {
-        Ok(Payload::Held(buf)) => {
+    let body = match buffer(whole, HELD_BYTES, u64::MAX).await {
+        Ok(Payload::Buffered(buf)) => {
             observe_size(d, cx, buf.len() as u64);
             body::full(buf)
         }
--- a/src/daemon/request/paced.rs
+++ b/src/daemon/request/paced.rs
@@ -20,7 +20,7 @@
 
 /// Lets an answer leave by the host's link: small ones at once, large ones piece
 /// by piece in their turn.
-pub fn by_link(d: &Arc<Daemon>, res: Response<Body>) -> Response<Body> {
+pub fn pace_answer(d: &Arc<Daemon>, res: Response<Body>) -> Response<Body> {
     let Some(link) = &d.link else { return res };
     let now = d.clock.now();
     let size = res.body().size_hint().exact();
--- a/src/daemon/request/payload.rs
+++ b/src/daemon/request/payload.rs
@@ -9,12 +9,12 @@
 use std::task::{Context, Poll};
 
 /// Largest body that the entry side holds, in bytes.
-pub const MAX_HELD: usize = 64 << 10;
+pub const MAX_BUFFERED: usize = 64 << 10;
 
 /// A request body as it can be sent.
 pub enum Payload {
     /// Held whole: can be sent again.
-    Held(Bytes),
+    Buffered(Bytes),
     /// Streamed: can be sent once. What was read of it already is there until taken.
     Streamed(Option<Body>, Bytes),
 }
@@ -26,7 +26,7 @@
 ///
 /// Returns [`BodyError::TooLong`] beyond `most` bytes, and [`BodyError::Broken`]
 /// where the body did not arrive whole.
-pub async fn hold<B>(mut incoming: B, held_most: usize, most: u64) -> Result<Payload, BodyError>
+pub async fn buffer<B>(mut incoming: B, held_most: usize, most: u64) -> Result<Payload, BodyError>
 where
     B: HttpBody<Data = Bytes> + Unpin + Send + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -48,7 +48,7 @@
             return Ok(Payload::Streamed(Some(body), begun));
         }
     }
-    Ok(Payload::Held(held.freeze()))
+    Ok(Payload::Buffered(held.freeze()))
 }
 
 /// Makes a body of what was read already and what is to come.
@@ -94,15 +94,15 @@
 
 impl Payload {
     /// Returns whether the body can still be sent.
-    pub fn is_left(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         !matches!(self, Payload::Streamed(None, _))
     }
 
     /// Returns what is known of the body before it is sent: all of it, or the beginning
     /// of one that is streamed, which is then let go.
-    pub fn take_begun(&mut self) -> Bytes {
+    pub fn take_prefix(&mut self) -> Bytes {
         match self {
-            Payload::Held(buf) => buf.clone(),
+            Payload::Buffered(buf) => buf.clone(),
             Payload::Streamed(_, begun) => std::mem::take(begun),
         }
     }
@@ -110,8 +110,8 @@
     /// Returns the body to send, or `None` where it was streamed before.
     pub fn take(&mut self) -> Option<Body> {
         match self {
-            Payload::Held(buf) if buf.is_empty() => Some(body::empty()),
-            Payload::Held(buf) => Some(body::full(buf.clone())),
+            Payload::Buffered(buf) if buf.is_empty() => Some(body::empty()),
+            Payload::Buffered(buf) => Some(body::full(buf.clone())),
             Payload::Streamed(body, _) => body.take(),
         }
     }
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -32,19 +32,22 @@
 
 /// How long a call may wait at one host, while others can still be asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct SendOptions {
     /// For the host's link, if its answer is large.
-    pub link: Duration,
+    pub max_link_backlog: Duration,
     /// For a slot of the upstream.
-    pub slot: Duration,
+    pub max_slot_wait: Duration,
     /// Whether it is the one trial of a call that may end upstreams.
     pub is_trial: bool,
 }
 
-impl Patience {
+impl SendOptions {
     /// As long as there is time.
-    pub const LAST: Patience =
-        Patience { link: Duration::MAX, slot: Duration::MAX, is_trial: false };
+    pub const UNLIMITED: SendOptions = SendOptions {
+        max_link_backlog: Duration::MAX,
+        max_slot_wait: Duration::MAX,
+        is_trial: false,
+    };
 }
 
 /// Sends a call to a chosen upstream and reads its answer as far as it is held.
@@ -55,7 +58,7 @@
     work: &Work,
     target: &Target,
     body: Body,
-    patience: Patience,
+    patience: SendOptions,
 ) -> Got {
     let started = d.clock.now();
     let demand = work.demand(started);
@@ -208,7 +211,7 @@
     work: &Work,
     target: &Target,
     left: Duration,
-    patience: Patience,
+    patience: SendOptions,
     now: Instant,
 ) -> Context {
     let said = d.signals.limit(target.host, &target.instance);
@@ -219,8 +222,8 @@
         instance: target.instance.clone(),
         deadline_ms: ms(left),
         objective_ms: ms(work.objective.saturating_duration_since(now)),
-        link_most_ms: ms(patience.link),
-        wait_most_ms: ms(patience.slot),
+        link_most_ms: ms(patience.max_link_backlog),
+        wait_most_ms: ms(patience.max_slot_wait),
         priority: work.priority,
         caller: work.caller,
         call_kind: work.kind,
--- a/src/daemon/request/sender.rs
+++ b/src/daemon/request/sender.rs
@@ -13,11 +13,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Sender {
     /// Nobody that the configuration names, and nobody has to be.
-    Anyone,
+    Anonymous,
     /// One of its organisations.
     Organisation(Arc<Account>),
     /// A key is missing, is malformed or belongs to nobody.
-    Unknown,
+    Unauthenticated,
 }
 
 /// Tells who sends a request, and removes from its head what upstreams may not see.
@@ -31,14 +31,14 @@
     organisation: &HeaderName,
 ) -> Sender {
     head.remove(organisation);
-    let Some(organisations) = &table.organisations else { return Sender::Anyone };
+    let Some(organisations) = &table.organisations else { return Sender::Anonymous };
     let found = key_of(head).and_then(|key| organisations.find(key)).cloned();
     // Removes every value of that name.
     head.remove(header::AUTHORIZATION);
     match found {
         Some(account) => Sender::Organisation(account),
-        None if route.anonymous => Sender::Anyone,
-        None => Sender::Unknown,
+        None if route.anonymous => Sender::Anonymous,
+        None => Sender::Unauthenticated,
     }
 }
 
--- a/src/daemon/request/tracked.rs
+++ b/src/daemon/request/tracked.rs
@@ -10,19 +10,19 @@
 use std::task::{Context, Poll};
 
 /// Counts a call as in progress while it lives.
-pub struct Counted {
+pub struct InFlightGuard {
     d: Arc<Daemon>,
 }
 
-impl Counted {
+impl InFlightGuard {
     /// Counts one more.
-    pub fn new(d: &Arc<Daemon>) -> Counted {
+    pub fn new(d: &Arc<Daemon>) -> InFlightGuard {
         d.calls.fetch_add(1, Ordering::Relaxed);
-        Counted { d: d.clone() }
+        InFlightGuard { d: d.clone() }
     }
 }
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.d.calls.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -30,13 +30,13 @@
 const TRY_EVERY: Duration = Duration::from_millis(300);
 
 /// Whether a call may be sent now.
-pub enum Permit {
+pub enum QuarantineDecision {
     /// Nothing stands against it.
-    Sent,
+    Send,
     /// It is sent to one upstream, once, while this is held.
-    Tried(Trial),
+    SendAsTrial(Trial),
     /// It is sent to nobody.
-    Refused {
+    Refuse {
         /// When its caller may come back.
         retry_after: Duration,
     },
@@ -57,7 +57,11 @@
 /// Waits until a call is cleared, refused or on trial.
 ///
 /// `doubted` is when it was first found to be in doubt; it is set here.
-pub async fn permit(d: &Arc<Daemon>, work: &Work, doubted: &mut Option<Instant>) -> Permit {
+pub async fn wait_for_decision(
+    d: &Arc<Daemon>,
+    work: &Work,
+    doubted: &mut Option<Instant>,
+) -> QuarantineDecision {
     loop {
         let now = d.clock.now();
         let is_overdue = doubted.is_some_and(|since| now >= last_look(work, since));
@@ -66,12 +70,12 @@
             QuarantineState::Suspected | QuarantineState::Clear if is_overdue => {
                 return refused_for_now(d);
             }
-            QuarantineState::Suspected | QuarantineState::Clear => return Permit::Sent,
+            QuarantineState::Suspected | QuarantineState::Clear => return QuarantineDecision::Send,
         };
         let review = quarantine::review(d, work.digest);
         if review == Review::Certain {
             d.metrics.incr("call.quarantined");
-            return Permit::Refused { retry_after: left };
+            return QuarantineDecision::Refuse { retry_after: left };
         }
         doubted.get_or_insert(now);
         if is_overdue {
@@ -80,14 +84,14 @@
         if review == Review::Doubtful
             && let Some(trial) = begin(d, work).await
         {
-            return Permit::Tried(trial);
+            return QuarantineDecision::SendAsTrial(trial);
         }
         smol::Timer::after(LOOK).await;
     }
 }
 
 /// Waits a moment for the news that another daemon has already.
-pub async fn wait_for_news(d: &Daemon, doubted: &mut Option<Instant>) {
+pub async fn wait_for_update(d: &Daemon, doubted: &mut Option<Instant>) {
     doubted.get_or_insert(d.clock.now());
     smol::Timer::after(LOOK).await;
 }
@@ -96,9 +100,9 @@
     work.objective.min(since + MOST_WAIT)
 }
 
-fn refused_for_now(d: &Daemon) -> Permit {
+fn refused_for_now(d: &Daemon) -> QuarantineDecision {
     d.metrics.incr("call.disputed");
-    Permit::Refused { retry_after: jitter(MOST_WAIT, fastrand::u64(..)) }
+    QuarantineDecision::Refuse { retry_after: jitter(MOST_WAIT, fastrand::u64(..)) }
 }
 
 /// Gets the key for a trial, if nobody has it and the call is still in doubt.
--- a/tests/credentials.rs
+++ b/tests/credentials.rs
@@ -31,8 +31,8 @@
     assert!(head.is_empty(), "{head:?} is passed on");
     match sender {
         Sender::Organisation(account) => account.name == "town",
-        Sender::Unknown => false,
-        Sender::Anyone => panic!("the route is not anonymous"),
+        Sender::Unauthenticated => false,
+        Sender::Anonymous => panic!("the route is not anonymous"),
     }
 }
 
