--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -1,10 +1,11 @@
-//! The exit side of a call: admit, forward to the upstream on this host, answer.
+//! The exit side of a call: admits it, forwards it to an upstream on this host, and passes
+//! the answer on.
 
 use super::headers;
-use super::paced::Expected;
+use super::paced::ExpectedAnswer;
 use super::payload::{Payload, buffer};
 use super::story::Admit;
-use super::tracked::{InFlightGuard, Tracked};
+use super::tracked::{InFlightGuard, TrackedBody};
 use crate::daemon::gates::ended;
 use crate::daemon::gates::local::{Local, Pass};
 use crate::daemon::in_band::{self, Signals};
@@ -24,40 +25,41 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time to come back after the upstream could not be reached: its next start or
-/// report takes at least as long.
-const UNREACHED_WAIT: Duration = Duration::from_millis(50);
-/// Share of the time for which an upstream says it keeps idle connections that
-/// one is used again. The rest is for what is under way.
-const KEEP_SHARE: f64 = 0.7;
+/// Time after which to retry a call whose upstream could not be reached or was replaced: its
+/// next start or report takes at least as long.
+const UNREACHED_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Share of the keep-alive time that an upstream states, or else of [`IDLE_TIME`], in which
+/// a connection is reused. The rest is for requests that are on their way at its end.
+const REUSE_SHARE: f64 = 0.7;
 
-/// Largest answer that is read whole before it is passed on, in bytes. Nearly all
-/// documents fit; a handful at a time are less than a megabyte or two.
-const HELD_BYTES: usize = 256 << 10;
+/// Largest answer that is buffered whole before it is passed on, in bytes. Nearly all
+/// documents fit, and a handful of them at a time take less than one or two megabytes.
+const MAX_BUFFERED_ANSWER: usize = 256 << 10;
 
-/// Where a call comes from.
+/// The daemon that a call comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// The entry side of this daemon.
-    Here,
+    SameDaemon,
     /// Another daemon.
     Mesh,
 }
 
-/// Answers one forwarded call.
+/// Runs a call from an entry daemon at an upstream on this host. Returns the upstream's
+/// answer, or a response that says why there is none.
 pub async fn handle(
     d: Arc<Daemon>,
     cx: Context,
     req: Request<Body>,
     origin: Origin,
 ) -> Response<Body> {
-    let _counted = InFlightGuard::new(&d);
+    let _in_flight = InFlightGuard::new(&d);
     let arrived = d.clock.now();
     let deadline = arrived + Duration::from_millis(u64::from(cx.deadline_ms));
     let Some(local) = d.gates.get(&cx.instance) else {
         return refuse(&d, &cx, Refusal::Gone, arrived, None);
     };
-    if let Some(refusal) = quarantined(&d, &cx) {
+    if let Some(refusal) = quarantine_refusal(&d, &cx) {
         return refuse(&d, &cx, refusal, arrived, Some(&local));
     }
     if let Some(limit) = cx.limit_thousandths {
@@ -65,10 +67,11 @@
     }
     let kind = KindKey(cx.call_kind);
     let objective = Duration::from_millis(u64::from(cx.objective_ms));
-    let on_link = match (origin, time_on_link(&d, &cx, local.time_of(kind), arrived)) {
+    let transfer_time = match (origin, admit_on_link(&d, &cx, local.time_of(kind), arrived)) {
         (_, Ok(time)) => time,
-        // The answer leaves by this link wherever it comes from.
-        (Origin::Here, Err(backlog)) => backlog,
+        // A call of this daemon's own entry side is not refused: its answer leaves by this
+        // link even if another host serves it.
+        (Origin::SameDaemon, Err(backlog)) => backlog,
         (Origin::Mesh, Err(backlog)) => {
             let retry_after = jitter(backlog, fastrand::u64(..));
             let refusal = Refusal::LinkBusy { retry_after };
@@ -77,7 +80,7 @@
     };
     let arrival = Arrival {
         deadline,
-        objective: arrived + objective.saturating_sub(on_link),
+        objective: arrived + objective.saturating_sub(transfer_time),
         priority: cx.priority,
         caller: CallerKey(cx.caller),
         kind,
@@ -88,30 +91,32 @@
         Err(refusal) => return refuse(&d, &cx, refusal, arrived, Some(&local)),
     };
     let now = d.clock.now();
-    // Failure: the process is frozen between admission and here. Symptom: work
-    // whose answer nobody waits for any more takes a slot. The clock is read
-    // again at the last moment before the upstream is involved.
+    // The process may have been frozen since the admission. Work whose answer nobody
+    // waits for any more would then take a slot, so the clock is read again at the last
+    // moment before the upstream is involved.
     if now >= deadline {
         return refuse(&d, &cx, Refusal::TooLate, arrived, Some(&local));
     }
-    // While it waited other upstreams may have ended under it.
-    if let Some(refusal) = quarantined(&d, &cx) {
+    // Other upstreams may have ended while running the same request since this call was
+    // queued.
+    if let Some(refusal) = quarantine_refusal(&d, &cx) {
         return refuse(&d, &cx, refusal, arrived, Some(&local));
     }
     if let Err(refusal) = d.rollouts.admit(&d, &local) {
         return refuse(&d, &cx, refusal, arrived, Some(&local));
     }
     log_admit(&d, &cx, "run", arrived, Some(&local));
-    let expected = Expected::new(&d, kind);
+    let expected = ExpectedAnswer::new(&d, kind);
     let res = forward(d, cx, req, local, pass, deadline).await;
     drop(expected);
     res
 }
 
-/// Returns the refusal of a call that ends upstreams.
+/// Returns the refusal of a quarantined call.
 ///
-/// Its entry daemon asks too; only this one can be sure of the moment of the send.
-fn quarantined(d: &Daemon, cx: &Context) -> Option<Refusal> {
+/// The entry daemon checks the quarantine too, but only the exit daemon can check it
+/// immediately before the call is sent to the upstream.
+fn quarantine_refusal(d: &Daemon, cx: &Context) -> Option<Refusal> {
     match quarantine::standing(d, cx.digest) {
         QuarantineState::Suspected | QuarantineState::Clear => None,
         QuarantineState::Quarantined { left } => match quarantine::review(d, cx.digest) {
@@ -124,12 +129,13 @@
     }
 }
 
-/// Returns how long a call's answer will take on the host's link.
+/// Returns how long a call's answer will take to leave by the host's link.
 ///
 /// # Errors
 ///
-/// Returns how long the link is busy, where the answer would be too late.
-fn time_on_link(
+/// Returns how long the link is busy if the answer would be too late, or if the link is
+/// busy for longer than the call accepts.
+fn admit_on_link(
     d: &Daemon,
     cx: &Context,
     service_time: Duration,
@@ -157,12 +163,12 @@
     pass.begin(cx.digest);
     let sent = exec::timeout(left, local.pool.send(local.address, req)).await;
     let (res, connection) = match sent {
-        Some(Ok(answered)) => answered,
+        Some(Ok(received)) => received,
         Some(Err(err)) if err.is_unsent() => {
             local.unreached();
             ended::after_refusal(&d, &local).await;
             pass.end(End::Failed, d.clock.now());
-            return not_run(&d, &cx, "unreached", UNREACHED_WAIT, started, &local);
+            return not_run(&d, &cx, "unreached", UNREACHED_RETRY_AFTER, started, &local);
         }
         Some(Err(err)) => {
             let has_ended = ended::after_break(&d, &local, cx.digest).await;
@@ -179,8 +185,8 @@
             return unknown(&d, &cx, StatusCode::GATEWAY_TIMEOUT, "deadline", started, &local);
         }
     };
-    let answered = answer(&d, &cx, res, connection, &local, pass, started);
-    match exec::timeout(deadline.saturating_duration_since(d.clock.now()), answered).await {
+    let passed_on = pass_on_answer(&d, &cx, res, connection, &local, pass, started);
+    match exec::timeout(deadline.saturating_duration_since(d.clock.now()), passed_on).await {
         Some(res) => res,
         None => unknown(&d, &cx, StatusCode::GATEWAY_TIMEOUT, "deadline", started, &local),
     }
@@ -209,12 +215,12 @@
     }
 }
 
-/// Passes an answer on; the slot is given back when its body has ended.
+/// Passes an upstream's answer on; the slot is released when its body has ended.
 ///
-/// Most answers are read whole first. Failure: an answer is passed on as fast as
-/// the caller's link takes it. Symptom: a slot of the upstream is held for as
-/// long, and calls are refused while the upstream is idle.
-async fn answer(
+/// Most answers are buffered whole first. If an answer were passed on only as fast as the
+/// caller's link takes it, it would occupy a slot of the upstream for as long, and calls
+/// would be refused while the upstream is idle.
+async fn pass_on_answer(
     d: &Arc<Daemon>,
     cx: &Context,
     res: Response<Incoming>,
@@ -224,11 +230,10 @@
     started: Instant,
 ) -> Response<Body> {
     let (mut head, incoming) = res.into_parts();
-    // Failure: an upstream sends a second answer, or one to an earlier call, on
-    // a connection that is used again. Symptom: a caller gets the answer to
-    // somebody else's request. An answer without this call's id is not passed
-    // on, and its connection is closed with it.
-    if d.dialect.echoes_request_id && !is_own(d, cx, &head.headers) {
+    // An upstream may send a second answer, or the answer to an earlier call, on a reused
+    // connection, and a caller would get the answer to another caller's request. An answer
+    // without this call's id is not passed on, and its connection is closed.
+    if d.dialect.echoes_request_id && !has_request_id(d, cx, &head.headers) {
         pass.end(End::Failed, d.clock.now());
         d.metrics.incr("upstream.wrong_answer");
         return unknown(d, cx, StatusCode::BAD_GATEWAY, "wrong-answer", started, local);
@@ -238,39 +243,39 @@
     }
     if let Some(res) = refusal_of_upstream(d, cx, &head, local) {
         pass.end(End::Shed, d.clock.now());
-        keep_when_whole(incoming, connection, local);
+        keep_connection(incoming, connection, local);
         return res;
     }
     headers::strip_ours(&mut head.headers);
-    let idle = idle_time(&head.headers);
+    let reuse_time = connection_reuse_time(&head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
-    let service = d.clock.now().saturating_duration_since(started);
-    tell_upstream(d, local, &mut head.headers);
-    headers::set(&mut head.headers, call::SERVICE_US, &service.as_micros().to_string());
-    let whole = {
-        let (d, local, call) = (d.clone(), local.clone(), cx.digest);
+    let service_time = d.clock.now().saturating_duration_since(started);
+    add_load_report(d, local, &mut head.headers);
+    headers::set(&mut head.headers, call::SERVICE_US, &service_time.as_micros().to_string());
+    let tracked = {
+        let (d, local, digest) = (d.clone(), local.clone(), cx.digest);
         let (kind, has_failed) = (KindKey(cx.call_kind), head.status.is_server_error());
-        Tracked::new(incoming, move |whole| {
+        TrackedBody::new(incoming, move |is_complete| {
             let now = d.clock.now();
             let took = now.saturating_duration_since(started);
             d.metrics.time("upstream.time", took);
-            pass.end(if whole { End::Answered(took) } else { End::Failed }, now);
-            d.rollouts.observe(&local, kind, (whole && !has_failed).then_some(took));
-            if whole {
-                quarantine::ran_well(&d, call);
+            pass.end(if is_complete { End::Answered(took) } else { End::Failed }, now);
+            d.rollouts.observe(&local, kind, (is_complete && !has_failed).then_some(took));
+            if is_complete {
+                quarantine::ran_well(&d, digest);
             }
-            if whole && let Some(idle) = idle {
-                connection.keep(&local.pool, idle);
+            if is_complete && let Some(time) = reuse_time {
+                connection.keep(&local.pool, time);
             }
         })
     };
-    let body = match buffer(whole, HELD_BYTES, u64::MAX).await {
+    let body = match buffer(tracked, MAX_BUFFERED_ANSWER, u64::MAX).await {
         Ok(Payload::Buffered(buf)) => {
             observe_size(d, cx, buf.len() as u64);
             body::full(buf)
         }
         Ok(Payload::Streamed(body, _)) => {
-            observe_size(d, cx, HELD_BYTES as u64);
+            observe_size(d, cx, MAX_BUFFERED_ANSWER as u64);
             body.unwrap_or_else(body::empty)
         }
         Err(err) => {
@@ -281,7 +286,7 @@
         }
     };
     let mut res = Response::from_parts(head, body);
-    tell_link(d, res.headers_mut());
+    add_link_report(d, res.headers_mut());
     res
 }
 
@@ -291,38 +296,39 @@
     }
 }
 
-/// Tells the entry daemon how the upstream is. What this daemon saw of all its calls is
-/// worth more than what an entry daemon learns from the few that it sends there.
-fn tell_upstream(d: &Daemon, local: &Arc<Local>, head: &mut HeaderMap) {
+/// Adds the load report of the upstream for the entry daemon. This daemon sees all calls at
+/// the upstream, while an entry daemon sees only the few that it sends there itself.
+fn add_load_report(d: &Daemon, local: &Arc<Local>, head: &mut HeaderMap) {
     let load = local.load();
     headers::set(head, call::LOAD, &(load.running + load.queued).to_string());
     let now = d.clock.now();
-    let accepts = local.accepts(now) * 1e3;
-    headers::set(head, call::ACCEPTS, &(accepts.round() as u64).to_string());
-    if let Some((limit, next)) = local.schedule_retry(now) {
+    let accepted_per_thousand = local.accepts(now) * 1e3;
+    headers::set(head, call::ACCEPTS, &(accepted_per_thousand.round() as u64).to_string());
+    if let Some((limit, next_token)) = local.schedule_retry(now) {
         headers::set(head, call::LIMIT_THOUSANDTHS, &limit.thousandths().to_string());
-        headers::set(head, call::NEXT_TOKEN_MS, &next.as_millis().to_string());
+        headers::set(head, call::NEXT_TOKEN_MS, &next_token.as_millis().to_string());
     }
     if local.signalled_leaving() {
         headers::set(head, call::LEAVING_START, &local.start().to_string());
     }
 }
 
-/// Tells the entry daemon how busy this host's link is.
-fn tell_link(d: &Daemon, head: &mut HeaderMap) {
+/// Adds the time that one more large answer would take to leave by this host's link, for
+/// the entry daemon.
+fn add_link_report(d: &Daemon, head: &mut HeaderMap) {
     let Some(link) = &d.link else { return };
-    let wait = lock(link).estimated_transfer_time(d.clock.now());
-    if let Some(wait) = wait {
-        headers::set(head, call::LINK_MS, &wait.as_millis().to_string());
+    let transfer_time = lock(link).estimated_transfer_time(d.clock.now());
+    if let Some(time) = transfer_time {
+        headers::set(head, call::LINK_MS, &time.as_millis().to_string());
     }
 }
 
-fn is_own(d: &Daemon, cx: &Context, head: &HeaderMap) -> bool {
+fn has_request_id(d: &Daemon, cx: &Context, head: &HeaderMap) -> bool {
     headers::text(head, d.dialect.request_id.as_str()) == Some(cx.request_id.as_str())
 }
 
-/// Returns the answer to the entry daemon where the upstream says that it did
-/// not run the call.
+/// Returns the answer to the entry daemon if the upstream reports that it did not run the
+/// call.
 fn refusal_of_upstream(
     d: &Arc<Daemon>,
     cx: &Context,
@@ -336,31 +342,35 @@
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         let other = d.dialect.instance.as_ref();
         let other = other.and_then(|name| headers::text(&head.headers, name.as_str()));
-        log::warn!("upstream {} is another one now: {}", cx.instance, other.unwrap_or("unnamed"));
+        log::warn!(
+            "upstream {} was replaced by another instance: {}",
+            cx.instance,
+            other.unwrap_or("unnamed")
+        );
         d.gates.misdirected(d, &cx.instance, other);
-        return Some(not_run(d, cx, "misdirected", UNREACHED_WAIT, now, local));
+        return Some(not_run(d, cx, "misdirected", UNREACHED_RETRY_AFTER, now, local));
     }
     d.metrics.incr("upstream.shed");
     Some(not_run(d, cx, "shed", local.load().mean, now, local))
 }
 
-/// Reads the rest of a refusal so that its connection can be used again.
-fn keep_when_whole(incoming: Incoming, connection: Connection, local: &Arc<Local>) {
+/// Reads the body of a refusal, so that its connection can be reused.
+fn keep_connection(incoming: Incoming, connection: Connection, local: &Arc<Local>) {
     let local = local.clone();
     exec::spawn(async move {
-        if cicadashift_http::body::read(incoming, REFUSAL_BYTES).await.is_ok() {
+        if cicadashift_http::body::read(incoming, MAX_REFUSAL_BODY).await.is_ok() {
             connection.keep(&local.pool, IDLE_TIME);
         }
     })
     .detach();
 }
 
-/// Most bytes of a refusal's body that are read to keep its connection.
-const REFUSAL_BYTES: usize = 4096;
+/// Most bytes of a refusal's body that are read to reuse its connection.
+const MAX_REFUSAL_BODY: usize = 4096;
 
-/// Returns for how long an upstream's connection may be used again; `None` where
-/// it is about to close it.
-fn idle_time(head: &HeaderMap) -> Option<Duration> {
+/// Returns how long an upstream's connection may be reused, or `None` if the upstream
+/// is about to close it.
+fn connection_reuse_time(head: &HeaderMap) -> Option<Duration> {
     let closes = headers::text(head, "connection").is_some_and(|value| value.contains("close"));
     if closes {
         return None;
@@ -370,7 +380,7 @@
         seconds.parse::<u64>().ok()
     });
     let time = stated.map_or(IDLE_TIME, Duration::from_secs);
-    Some(time.mul_f64(KEEP_SHARE))
+    Some(time.mul_f64(REUSE_SHARE))
 }
 
 fn refuse(
@@ -388,9 +398,9 @@
     }
     let mut res = headers::not_run(&reason, refusal.retry_after(), false);
     if let Some(local) = local {
-        tell_upstream(d, local, res.headers_mut());
+        add_load_report(d, local, res.headers_mut());
     }
-    tell_link(d, res.headers_mut());
+    add_link_report(d, res.headers_mut());
     res
 }
 
@@ -398,13 +408,13 @@
     d: &Daemon,
     cx: &Context,
     reason: &str,
-    wait: Duration,
+    retry_after: Duration,
     started: Instant,
     local: &Arc<Local>,
 ) -> Response<Body> {
     log_admit(d, cx, reason, started, Some(local));
-    let mut res = headers::not_run(reason, wait, false);
-    tell_upstream(d, local, res.headers_mut());
+    let mut res = headers::not_run(reason, retry_after, false);
+    add_load_report(d, local, res.headers_mut());
     res
 }
 
--- a/src/daemon/request/paced.rs
+++ b/src/daemon/request/paced.rs
@@ -1,4 +1,4 @@
-//! Answers on their way over the host's link.
+//! Pacing of answers on the host's link.
 
 use crate::daemon::{Daemon, lock};
 use bytes::Bytes;
@@ -13,13 +13,13 @@
 use std::sync::Arc;
 use std::task::{Context, Poll, ready};
 
-/// Bytes of an answer's head and of the packets around it.
+/// Bytes assumed for an answer's head and for the packet headers around it.
 const HEAD_BYTES: u64 = 400;
-/// Size that is assumed of an answer which does not tell its own.
-const UNTOLD_BYTES: u64 = 64 << 10;
+/// Size assumed for an answer that does not state its length, in bytes.
+const DEFAULT_BYTES: u64 = 64 << 10;
 
-/// Lets an answer leave by the host's link: small ones at once, large ones piece
-/// by piece in their turn.
+/// Paces an answer on the host's link: a small one is sent at once, a large one piece by
+/// piece, in turn with other large answers.
 pub fn pace_answer(d: &Arc<Daemon>, res: Response<Body>) -> Response<Body> {
     let Some(link) = &d.link else { return res };
     let now = d.clock.now();
@@ -28,29 +28,30 @@
         lock(link).record_sent(bytes + HEAD_BYTES, now);
         return res;
     }
-    let turn = lock(link).start_transfer(size.unwrap_or(UNTOLD_BYTES), now);
+    let transfer = lock(link).start_transfer(size.unwrap_or(DEFAULT_BYTES), now);
     res.map(|body| {
-        Paced { d: d.clone(), turn, body, held: Bytes::new(), pause: None }.boxed_unsync()
+        PacedBody { d: d.clone(), transfer, body, buffered: Bytes::new(), pause: None }
+            .boxed_unsync()
     })
 }
 
-/// A large answer that leaves in its turn.
-struct Paced {
+/// Body of a large answer, whose pieces wait for their turn on the link.
+struct PacedBody {
     d: Arc<Daemon>,
-    turn: TransferId,
+    transfer: TransferId,
     body: Body,
-    /// What was read of the body and has not left.
-    held: Bytes,
+    /// Bytes that were read from the body and not sent yet.
+    buffered: Bytes,
     pause: Option<smol::Timer>,
 }
 
-impl Paced {
-    /// Returns how many bytes may leave now, or sets the pause until they may.
-    fn ask(&mut self) -> Option<usize> {
-        let Some(link) = &self.d.link else { return Some(self.held.len()) };
+impl PacedBody {
+    /// Returns how many bytes may be sent now, or sets the pause after which to ask again.
+    fn next_piece(&mut self) -> Option<usize> {
+        let Some(link) = &self.d.link else { return Some(self.buffered.len()) };
         let mut link = lock(link);
-        let bytes = self.held.len().min(link.piece());
-        match link.request_piece(self.turn, bytes as u64, self.d.clock.now()) {
+        let bytes = self.buffered.len().min(link.piece());
+        match link.request_piece(self.transfer, bytes as u64, self.d.clock.now()) {
             Ok(()) => Some(bytes),
             Err(wait) => {
                 self.pause = Some(smol::Timer::after(wait));
@@ -60,7 +61,7 @@
     }
 }
 
-impl HttpBody for Paced {
+impl HttpBody for PacedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -73,66 +74,66 @@
                 ready!(Pin::new(pause).poll(cx));
                 self.pause = None;
             }
-            if self.held.is_empty() {
+            if self.buffered.is_empty() {
                 match ready!(Pin::new(&mut self.body).poll_frame(cx)) {
                     Some(Ok(frame)) => match frame.into_data() {
-                        Ok(data) => self.held = data,
+                        Ok(data) => self.buffered = data,
                         Err(trailers) => return Poll::Ready(Some(Ok(trailers))),
                     },
                     end => return Poll::Ready(end),
                 }
                 continue;
             }
-            if let Some(bytes) = self.ask() {
-                return Poll::Ready(Some(Ok(Frame::data(self.held.split_to(bytes)))));
+            if let Some(bytes) = self.next_piece() {
+                return Poll::Ready(Some(Ok(Frame::data(self.buffered.split_to(bytes)))));
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.held.is_empty() && self.body.is_end_stream()
+        self.buffered.is_empty() && self.body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held = self.held.len() as u64;
+        let buffered = self.buffered.len() as u64;
         let rest = self.body.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(rest.lower() + held);
+        hint.set_lower(rest.lower() + buffered);
         if let Some(upper) = rest.upper() {
-            hint.set_upper(upper + held);
+            hint.set_upper(upper + buffered);
         }
         hint
     }
 }
 
-impl Drop for Paced {
+impl Drop for PacedBody {
     fn drop(&mut self) {
         if let Some(link) = &self.d.link {
-            lock(link).end_transfer(self.turn);
+            lock(link).end_transfer(self.transfer);
         }
     }
 }
 
-/// Bytes that an upstream is at work on and that will leave by the link.
-pub struct Expected {
+/// Counts the large answer that an upstream is working on towards the link's backlog.
+pub struct ExpectedAnswer {
     d: Arc<Daemon>,
     bytes: u64,
 }
 
-impl Expected {
-    /// Counts the answer of a call that is begun, if its kind has large ones.
-    pub fn new(d: &Arc<Daemon>, kind: KindKey) -> Expected {
+impl ExpectedAnswer {
+    /// Counts the answer of a call that starts now, if answers of its kind are large.
+    pub fn new(d: &Arc<Daemon>, kind: KindKey) -> ExpectedAnswer {
         let bytes = d.link.as_ref().map_or(0, |link| {
             let mut link = lock(link);
             let bytes = link.large_size(kind).unwrap_or(0);
             link.expect(bytes, true);
             bytes
         });
-        Expected { d: d.clone(), bytes }
+        ExpectedAnswer { d: d.clone(), bytes }
     }
 }
 
-impl Drop for Expected {
+impl Drop for ExpectedAnswer {
     fn drop(&mut self) {
         if let Some(link) = &self.d.link {
             lock(link).expect(self.bytes, false);
--- a/src/daemon/request/payload.rs
+++ b/src/daemon/request/payload.rs
@@ -1,4 +1,4 @@
-//! Bodies, held to be sent again or streamed once.
+//! Bodies, buffered to be sent again or streamed once.
 
 use bytes::{Bytes, BytesMut};
 use cicadashift_http::body::{self, Body, BodyError};
@@ -8,70 +8,77 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Largest body that the entry side holds, in bytes.
+/// Largest request body that the entry side buffers whole, in bytes.
 pub const MAX_BUFFERED: usize = 64 << 10;
 
-/// A request body as it can be sent.
+/// A body that was read as far as it is buffered.
 pub enum Payload {
-    /// Held whole: can be sent again.
+    /// Buffered whole: can be sent again.
     Buffered(Bytes),
-    /// Streamed: can be sent once. What was read of it already is there until taken.
+    /// Streamed: can be sent once, and is `None` afterwards. The bytes are a copy of the
+    /// part that was read already, and are empty once taken.
     Streamed(Option<Body>, Bytes),
 }
 
-/// Reads a body of at most `most` bytes as far as it is held, and readies the
-/// rest for streaming.
+/// Buffers a body of at most `max_bytes`. A body of more than `max_buffered` bytes is
+/// prepared for streaming instead.
 ///
 /// # Errors
 ///
-/// Returns [`BodyError::TooLong`] beyond `most` bytes, and [`BodyError::Broken`]
-/// where the body did not arrive whole.
-pub async fn buffer<B>(mut incoming: B, held_most: usize, most: u64) -> Result<Payload, BodyError>
+/// Returns [`BodyError::TooLong`] beyond `max_bytes`, and [`BodyError::Broken`] if the
+/// body did not arrive whole.
+pub async fn buffer<B>(
+    mut incoming: B,
+    max_buffered: usize,
+    max_bytes: u64,
+) -> Result<Payload, BodyError>
 where
     B: HttpBody<Data = Bytes> + Unpin + Send + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let size = incoming.size_hint().exact();
-    let mut held = BytesMut::new();
+    let mut buffered = BytesMut::new();
     while let Some(frame) = incoming.frame().await {
         let frame = frame.map_err(|err| BodyError::Broken(err.into().to_string()))?;
         if let Ok(data) = frame.into_data() {
-            held.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
         }
-        if held.len() as u64 > most {
+        if buffered.len() as u64 > max_bytes {
             return Err(BodyError::TooLong);
         }
-        if held.len() > held_most {
-            let left = usize::try_from(most - held.len() as u64).unwrap_or(usize::MAX);
-            let begun = held.freeze();
-            let body = streamed(begun.clone(), incoming, size, left);
-            return Ok(Payload::Streamed(Some(body), begun));
+        if buffered.len() > max_buffered {
+            let max_rest = usize::try_from(max_bytes - buffered.len() as u64).unwrap_or(usize::MAX);
+            let prefix = buffered.freeze();
+            let body = streamed(prefix.clone(), incoming, size, max_rest);
+            return Ok(Payload::Streamed(Some(body), prefix));
         }
     }
-    Ok(Payload::Buffered(held.freeze()))
+    Ok(Payload::Buffered(buffered.freeze()))
 }
 
-/// Makes a body of what was read already and what is to come.
-fn streamed<B>(begun: Bytes, rest: B, size: Option<u64>, most: usize) -> Body
+/// Creates a body from the prefix that was read already and the rest, which is at most
+/// `max_rest` bytes long.
+fn streamed<B>(prefix: Bytes, rest: B, size: Option<u64>, max_rest: usize) -> Body
 where
     B: HttpBody<Data = Bytes> + Unpin + Send + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let rest = Limited::new(rest, most).map_err(|err| BodyError::Broken(err.to_string()));
-    let begun = smol::stream::once(Ok(Frame::data(begun)));
-    let frames = begun.chain(BodyStream::new(rest));
-    Sized { body: StreamBody::new(frames).boxed_unsync(), size }.boxed_unsync()
+    let rest = Limited::new(rest, max_rest).map_err(|err| BodyError::Broken(err.to_string()));
+    let prefix = smol::stream::once(Ok(Frame::data(prefix)));
+    let frames = prefix.chain(BodyStream::new(rest));
+    SizedBody { body: StreamBody::new(frames).boxed_unsync(), size }.boxed_unsync()
 }
 
-/// A body whose length is known although its parts do not tell.
+/// A body whose length is known although its inner body does not state it.
 ///
-/// Without it a sized body would go on in chunks, which some upstreams refuse.
-struct Sized {
+/// Without the length, hyper would send it with chunked encoding, which some upstreams
+/// refuse.
+struct SizedBody {
     body: Body,
     size: Option<u64>,
 }
 
-impl HttpBody for Sized {
+impl HttpBody for SizedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -98,16 +105,16 @@
         !matches!(self, Payload::Streamed(None, _))
     }
 
-    /// Returns what is known of the body before it is sent: all of it, or the beginning
-    /// of one that is streamed, which is then let go.
+    /// Returns the part of the body that was read before it is sent: all of a buffered
+    /// body, or the prefix of a streamed one, whose copy is removed from the payload.
     pub fn take_prefix(&mut self) -> Bytes {
         match self {
             Payload::Buffered(buf) => buf.clone(),
-            Payload::Streamed(_, begun) => std::mem::take(begun),
+            Payload::Streamed(_, prefix) => std::mem::take(prefix),
         }
     }
 
-    /// Returns the body to send, or `None` where it was streamed before.
+    /// Returns the body to send, or `None` if it was streamed before.
     pub fn take(&mut self) -> Option<Body> {
         match self {
             Payload::Buffered(buf) if buf.is_empty() => Some(body::empty()),
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -1,7 +1,7 @@
-//! One attempt: to the exit side of the upstream's host, and its answer back.
+//! One attempt: sends a call to the exit side on the upstream's host and reads its answer.
 
 use super::answer::{self, Got};
-use super::tracked::Tracked;
+use super::tracked::TrackedBody;
 use super::work::Work;
 use super::{exit, headers};
 use crate::daemon::costs::Purpose;
@@ -23,26 +23,26 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What the exit daemon has more than the deadline to say what became of a call:
-/// a way there and back between failure domains, and its own processing.
+/// Time beyond the deadline in which the exit daemon may still report the outcome of a
+/// call: a round trip between failure domains, and its own processing.
 const ANSWER_MARGIN: Duration = Duration::from_millis(10);
 
-/// Bytes of the heads of a call and of its answer between daemons, for the count.
-const CALL_HEAD: usize = 600;
+/// Bytes counted for the head of a call, and for that of its answer, between daemons.
+const HEAD_BYTES: usize = 600;
 
-/// How long a call may wait at one host, while others can still be asked.
+/// How one attempt is sent. Short limits on its waits leave time to ask other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendOptions {
-    /// For the host's link, if its answer is large.
+    /// How long the host's link may be busy already, if the call's answer is large.
     pub max_link_backlog: Duration,
-    /// For a slot of the upstream.
+    /// Longest wait for a slot of the upstream.
     pub max_slot_wait: Duration,
-    /// Whether it is the one trial of a call that may end upstreams.
+    /// Whether this attempt is the one trial of a quarantined call that is in doubt.
     pub is_trial: bool,
 }
 
 impl SendOptions {
-    /// As long as there is time.
+    /// Waits are limited only by the deadline.
     pub const UNLIMITED: SendOptions = SendOptions {
         max_link_backlog: Duration::MAX,
         max_slot_wait: Duration::MAX,
@@ -50,15 +50,15 @@
     };
 }
 
-/// Sends a call to a chosen upstream and reads its answer as far as it is held.
+/// Sends a call to a chosen upstream and reads its answer as far as it is buffered.
 ///
-/// It is taken on only where it has to wait no longer than `patience` says.
+/// The exit daemon refuses the call if it would have to wait longer than `options` allows.
 pub async fn send(
     d: &Arc<Daemon>,
     work: &Work,
     target: &Target,
     body: Body,
-    patience: SendOptions,
+    options: SendOptions,
 ) -> Got {
     let started = d.clock.now();
     let demand = work.demand(started);
@@ -69,13 +69,13 @@
         return Got::None(Attempt::unreached(), "unreached");
     };
     lock(&d.liveness).call_sent(target.host, started);
-    let cx = context(d, work, target, left, patience, started);
+    let cx = context(d, work, target, left, options, started);
     let req = request(work, body);
-    let is_far = target.locality == Locality::OtherDomain;
-    d.costs.add(Purpose::Call, is_far, CALL_HEAD + size_of(req.body()));
+    let crosses_domains = target.locality == Locality::OtherDomain;
+    d.costs.add(Purpose::Call, crosses_domains, HEAD_BYTES + stated_length(req.body()));
     let sent = match target.host == d.me {
-        true => exec::timeout(left + ANSWER_MARGIN, here(d, cx, req)).await,
-        false => exec::timeout(left + ANSWER_MARGIN, there(d, to, cx, req)).await,
+        true => exec::timeout(left + ANSWER_MARGIN, send_local(d, cx, req)).await,
+        false => exec::timeout(left + ANSWER_MARGIN, send_remote(d, to, cx, req)).await,
     };
     let res = match sent {
         Some(Ok(res)) => res,
@@ -98,17 +98,17 @@
     read_answer(d, work, target, res, flight, started).await
 }
 
-/// Sends to the exit side of this daemon.
-async fn here(
+/// Passes a call to the exit side of this daemon.
+async fn send_local(
     d: &Arc<Daemon>,
     cx: Context,
     req: Request<Body>,
 ) -> Result<Response<Body>, SendError> {
-    Ok(exit::handle(d.clone(), cx, req, exit::Origin::Here).await)
+    Ok(exit::handle(d.clone(), cx, req, exit::Origin::SameDaemon).await)
 }
 
-/// Sends to the daemon on the upstream's host.
-async fn there(
+/// Sends a call to the daemon on the upstream's host.
+async fn send_remote(
     d: &Arc<Daemon>,
     to: SocketAddr,
     cx: Context,
@@ -118,12 +118,12 @@
     headers::set(req.headers_mut(), rpc::TOKEN_HEADER, d.key.token());
     let (res, connection) = d.mesh_pool.send(to, req).await?;
     let d = d.clone();
-    let keep = move |whole: bool| {
-        if whole {
+    let keep = move |is_complete: bool| {
+        if is_complete {
             connection.keep(&d.mesh_pool, IDLE_TIME);
         }
     };
-    Ok(res.map(|incoming| Tracked::new(incoming, keep).boxed_unsync()))
+    Ok(res.map(|incoming| TrackedBody::new(incoming, keep).boxed_unsync()))
 }
 
 async fn read_answer(
@@ -138,9 +138,9 @@
     d.costs.add(
         Purpose::Answer,
         target.locality == Locality::OtherDomain,
-        CALL_HEAD + size_of(&body),
+        HEAD_BYTES + stated_length(&body),
     );
-    let report = report(&head.headers);
+    let report = decode_report(&head.headers);
     if d.signals.take(target.host, &target.instance, &head.headers, d.clock.now()) {
         d.services.sync(d);
     }
@@ -152,7 +152,8 @@
     }
     if let Some((attempt, reason)) = answer::refusal(&head) {
         if reason == call::UPSTREAM_ENDED {
-            // The news may still be under way when the next attempt is decided on.
+            // Suspects the call at once: the exit daemon's own suspicion may arrive only after
+            // the next attempt is decided on.
             quarantine::ended(d, &target.instance, &[work.digest]);
         }
         flight.end(match attempt {
@@ -165,12 +166,12 @@
         });
         return Got::None(attempt, reason);
     }
-    let service = headers::number(&head.headers, call::SERVICE_US).map(Duration::from_micros);
+    let service_time = headers::number(&head.headers, call::SERVICE_US).map(Duration::from_micros);
     let left = work.deadline.saturating_duration_since(d.clock.now()) + ANSWER_MARGIN;
     match exec::timeout(left, answer::read(head, body)).await {
         Some(Ok(answer)) => {
             let total = d.clock.now().saturating_duration_since(started);
-            let service = service.unwrap_or(total);
+            let service = service_time.unwrap_or(total);
             flight.end(match answer.is_failure() {
                 true => Outcome::ErrorAnswer,
                 false => Outcome::Answered { service, total, report },
@@ -180,9 +181,9 @@
             d.services.with(&work.service, |service| service.picker.set_large(kind, large));
             Got::Answer(answer)
         }
-        Some(Err(why)) => {
+        Some(Err(reason)) => {
             flight.end(Outcome::Failed);
-            Got::None(Attempt::Unknown, why)
+            Got::None(Attempt::Unknown, reason)
         }
         None => {
             flight.end(Outcome::Failed);
@@ -191,17 +192,17 @@
     }
 }
 
-/// Returns the bytes of a body, as far as it tells.
-fn size_of(body: &Body) -> usize {
+/// Returns the length of a body in bytes, as far as the body states it.
+fn stated_length(body: &Body) -> usize {
     body.size_hint().lower() as usize
 }
 
-/// Reads what the exit daemon tells of its upstream.
-fn report(head: &HeaderMap) -> LoadReport {
+/// Decodes the exit daemon's load report on its upstream.
+fn decode_report(head: &HeaderMap) -> LoadReport {
     LoadReport {
         load: headers::number(head, call::LOAD).map(|load| load as u16),
         accept_ratio: headers::number(head, call::ACCEPTS)
-            .map(|share| share.min(1000) as f64 / 1e3),
+            .map(|accepted| accepted.min(1000) as f64 / 1e3),
         next_token: headers::number(head, call::NEXT_TOKEN_MS).map(Duration::from_millis),
     }
 }
@@ -211,10 +212,10 @@
     work: &Work,
     target: &Target,
     left: Duration,
-    patience: SendOptions,
+    options: SendOptions,
     now: Instant,
 ) -> Context {
-    let said = d.signals.limit(target.host, &target.instance);
+    let named_limit = d.signals.limit(target.host, &target.instance);
     let ms = |time: Duration| time.as_millis().min(u128::from(u32::MAX)) as u32;
     Context {
         request_id: work.request_id.clone(),
@@ -222,19 +223,19 @@
         instance: target.instance.clone(),
         deadline_ms: ms(left),
         objective_ms: ms(work.objective.saturating_duration_since(now)),
-        link_most_ms: ms(patience.max_link_backlog),
-        wait_most_ms: ms(patience.max_slot_wait),
+        link_most_ms: ms(options.max_link_backlog),
+        wait_most_ms: ms(options.max_slot_wait),
         priority: work.priority,
         caller: work.caller,
         call_kind: work.kind,
         caller_service: d.settings.services.first().cloned().unwrap_or_default(),
         organisation: work.organisation.clone(),
-        // What this call may still use is shared by all calls below it, so that
-        // retries at nine levels add up instead of multiplying.
+        // The attempts that are left are shared by all calls that the upstream makes for
+        // this one, so that retries at nine levels add up instead of multiplying.
         attempts: work.allowed.saturating_sub(1).max(1),
         version: work.version,
-        is_trial: patience.is_trial,
-        limit_thousandths: said.map(|limit| limit.thousandths()),
+        is_trial: options.is_trial,
+        limit_thousandths: named_limit.map(|limit| limit.thousandths()),
     }
 }
 
--- a/src/daemon/request/sender.rs
+++ b/src/daemon/request/sender.rs
@@ -1,4 +1,4 @@
-//! Which organisation sends a request, by its key.
+//! Identification of a request's sender by its API key.
 
 use cicadashift_core::config::Route;
 use cicadashift_core::config::compile::RoutingTable;
@@ -6,34 +6,35 @@
 use cicadashift_http::hyper::header::{self, HeaderMap, HeaderName};
 use std::sync::Arc;
 
-/// Scheme of the header that carries keys, RFC 6750.
+/// Authentication scheme of the `Authorization` header that carries a key, RFC 6750.
 const SCHEME: &str = "bearer";
 
-/// Who sends a request.
+/// The sender of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Sender {
-    /// Nobody that the configuration names, and nobody has to be.
+    /// No organisation, and none is required: the configuration lists none, or the route
+    /// is anonymous.
     Anonymous,
-    /// One of its organisations.
+    /// An organisation of the configuration.
     Organisation(Arc<Account>),
-    /// A key is missing, is malformed or belongs to nobody.
+    /// An organisation is required, but the key is missing, malformed or unknown.
     Unauthenticated,
 }
 
-/// Tells who sends a request, and removes from its head what upstreams may not see.
+/// Returns the sender of a request, and removes the headers that upstreams may not see.
 ///
-/// Where the configuration names no organisations, `Authorization` is the business of
+/// If the configuration lists no organisations, `Authorization` is a matter between
 /// callers and upstreams and is passed on.
 pub fn identify(
     table: &RoutingTable,
     route: &Route,
     head: &mut HeaderMap,
-    organisation: &HeaderName,
+    organisation_header: &HeaderName,
 ) -> Sender {
-    head.remove(organisation);
+    head.remove(organisation_header);
     let Some(organisations) = &table.organisations else { return Sender::Anonymous };
     let found = key_of(head).and_then(|key| organisations.find(key)).cloned();
-    // Removes every value of that name.
+    // `remove` deletes all values of the header.
     head.remove(header::AUTHORIZATION);
     match found {
         Some(account) => Sender::Organisation(account),
@@ -42,12 +43,12 @@
     }
 }
 
-/// Returns the key in a head that has exactly one, well-formed header for it.
+/// Returns the key if the head has exactly one `Authorization` header and it is well-formed.
 fn key_of(head: &HeaderMap) -> Option<&[u8]> {
     let mut values = head.get_all(header::AUTHORIZATION).iter();
     let (Some(value), None) = (values.next(), values.next()) else { return None };
     let (scheme, key) = value.to_str().ok()?.split_once(' ')?;
     let key = key.trim_matches(' ');
-    let is_one_word = !key.is_empty() && !key.contains([' ', ',', '\t']);
-    (scheme.eq_ignore_ascii_case(SCHEME) && is_one_word).then_some(key.as_bytes())
+    let is_single_token = !key.is_empty() && !key.contains([' ', ',', '\t']);
+    (scheme.eq_ignore_ascii_case(SCHEME) && is_single_token).then_some(key.as_bytes())
 }
--- a/src/daemon/request/tracked.rs
+++ b/src/daemon/request/tracked.rs
@@ -1,4 +1,4 @@
-//! Bodies that keep account of their call while they are sent.
+//! Tracking of calls in flight and of the ends of their bodies.
 
 use crate::daemon::Daemon;
 use bytes::Bytes;
@@ -9,13 +9,13 @@
 use std::sync::atomic::Ordering;
 use std::task::{Context, Poll};
 
-/// Counts a call as in progress while it lives.
+/// Counts a call as in flight until it is dropped.
 pub struct InFlightGuard {
     d: Arc<Daemon>,
 }
 
 impl InFlightGuard {
-    /// Counts one more.
+    /// Counts one more call.
     pub fn new(d: &Arc<Daemon>) -> InFlightGuard {
         d.calls.fetch_add(1, Ordering::Relaxed);
         InFlightGuard { d: d.clone() }
@@ -28,30 +28,31 @@
     }
 }
 
-/// A body that reports once whether it arrived whole.
-pub struct Tracked<F: FnOnce(bool)> {
+/// A body that reports, once, whether it arrived whole.
+pub struct TrackedBody<F: FnOnce(bool)> {
     incoming: Incoming,
     on_end: Option<F>,
 }
 
-impl<F: FnOnce(bool)> Tracked<F> {
-    /// Follows a body; `on_end` gets `false` if it is dropped half-way.
-    pub fn new(incoming: Incoming, on_end: F) -> Tracked<F> {
-        let mut tracked = Tracked { incoming, on_end: Some(on_end) };
+impl<F: FnOnce(bool)> TrackedBody<F> {
+    /// Wraps a body. `on_end` gets `true` once the body has arrived whole, and `false` if it
+    /// breaks or is dropped before.
+    pub fn new(incoming: Incoming, on_end: F) -> TrackedBody<F> {
+        let mut tracked = TrackedBody { incoming, on_end: Some(on_end) };
         if tracked.incoming.is_end_stream() {
             tracked.end(true);
         }
         tracked
     }
 
-    fn end(&mut self, whole: bool) {
+    fn end(&mut self, is_complete: bool) {
         if let Some(on_end) = self.on_end.take() {
-            on_end(whole);
+            on_end(is_complete);
         }
     }
 }
 
-impl<F: FnOnce(bool) + Unpin> HttpBody for Tracked<F> {
+impl<F: FnOnce(bool) + Unpin> HttpBody for TrackedBody<F> {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -88,7 +89,7 @@
     }
 }
 
-impl<F: FnOnce(bool)> Drop for Tracked<F> {
+impl<F: FnOnce(bool)> Drop for TrackedBody<F> {
     fn drop(&mut self) {
         self.end(false);
     }
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -1,14 +1,15 @@
-//! The way back of a call that may be quarantined wrongly.
+//! Trials of calls that may be quarantined by mistake.
 //!
-//! [`cicadashift_core::request::suspects::Review`] says which calls are in doubt. Their
-//! callers wait here for a moment. One of them holds the key of the store that stands for
-//! a trial, sends the call once, and what became of that clears or convicts it for all.
+//! [`cicadashift_core::request::suspects::Review`] says which quarantined calls are in
+//! doubt. Such a call waits here for a moment. One daemon of the fleet at a time holds
+//! the trial key in the store and sends its call to one upstream, once. The outcome of
+//! this trial clears the call or confirms its quarantine, for all daemons.
 //!
 //! # Limits
 //!
-//! While the store is away nothing is tried, and calls in doubt are refused. A daemon that
-//! freezes during its trial loses the key after [`HELD_FOR`], and another one may try
-//! beside it.
+//! While the store cannot be reached there are no trials, and calls in doubt are refused.
+//! A daemon that is frozen during its trial loses the key after [`KEY_TTL`], and another
+//! daemon may then start a trial at the same time.
 
 use super::work::Work;
 use crate::daemon::{Daemon, quarantine};
@@ -19,30 +20,33 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest wait of a call in doubt, within its objective: a few trials of others.
-const MOST_WAIT: Duration = Duration::from_secs(1);
-/// Time between two looks at what is known of the call.
-const LOOK: Duration = Duration::from_millis(20);
-/// How long a trial holds its key at most, if its daemon does not give it back.
-const HELD_FOR: Duration = Duration::from_secs(2);
-/// Time between two tries of one daemon to get the key, so that 80 daemons with calls in
-/// doubt write some 250 times a second.
-const TRY_EVERY: Duration = Duration::from_millis(300);
+/// Longest wait of a call in doubt, unless its objective ends earlier: a few trials of
+/// other calls fit into it.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+/// Time between two checks of a call's quarantine state.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Lifetime of the trial key's lease: the longest time that a trial holds the key if its
+/// daemon does not release it.
+const KEY_TTL: Duration = Duration::from_secs(2);
+/// Time between two attempts of one daemon to acquire the key, so that 80 daemons with
+/// calls in doubt write to the store only about 250 times a second.
+const ACQUIRE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Whether a call may be sent now.
+/// Whether a call may be sent now, by its quarantine state.
 pub enum QuarantineDecision {
-    /// Nothing stands against it.
+    /// Send it: it is not quarantined.
     Send,
-    /// It is sent to one upstream, once, while this is held.
+    /// Send it to one upstream, once, and keep the [`Trial`] until that attempt has ended.
     SendAsTrial(Trial),
-    /// It is sent to nobody.
+    /// Send it to no upstream.
     Refuse {
-        /// When its caller may come back.
+        /// Time after which its caller may retry.
         retry_after: Duration,
     },
 }
 
-/// The key that stands for the one trial of the fleet; given back when dropped.
+/// Possession of the trial key, which one daemon of the fleet holds at a time; released
+/// when dropped.
 pub struct Trial {
     d: Arc<Daemon>,
     lease: Lease,
@@ -50,25 +54,25 @@
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        give_back(&self.d, self.lease);
+        release_lease(&self.d, self.lease);
     }
 }
 
-/// Waits until a call is cleared, refused or on trial.
+/// Waits until a call is cleared, is refused or gets the trial key.
 ///
-/// `doubted` is when it was first found to be in doubt; it is set here.
+/// `in_doubt_since` is when the call was first found to be in doubt, and is set here.
 pub async fn wait_for_decision(
     d: &Arc<Daemon>,
     work: &Work,
-    doubted: &mut Option<Instant>,
+    in_doubt_since: &mut Option<Instant>,
 ) -> QuarantineDecision {
     loop {
         let now = d.clock.now();
-        let is_overdue = doubted.is_some_and(|since| now >= last_look(work, since));
+        let is_overdue = in_doubt_since.is_some_and(|since| now >= wait_deadline(work, since));
         let left = match quarantine::standing(d, work.digest) {
             QuarantineState::Quarantined { left } => left,
             QuarantineState::Suspected | QuarantineState::Clear if is_overdue => {
-                return refused_for_now(d);
+                return refuse_disputed(d);
             }
             QuarantineState::Suspected | QuarantineState::Clear => return QuarantineDecision::Send,
         };
@@ -77,54 +81,55 @@
             d.metrics.incr("call.quarantined");
             return QuarantineDecision::Refuse { retry_after: left };
         }
-        doubted.get_or_insert(now);
+        in_doubt_since.get_or_insert(now);
         if is_overdue {
-            return refused_for_now(d);
+            return refuse_disputed(d);
         }
         if review == Review::Doubtful
-            && let Some(trial) = begin(d, work).await
+            && let Some(trial) = start_trial(d, work).await
         {
             return QuarantineDecision::SendAsTrial(trial);
         }
-        smol::Timer::after(LOOK).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Waits a moment for the news that another daemon has already.
-pub async fn wait_for_update(d: &Daemon, doubted: &mut Option<Instant>) {
-    doubted.get_or_insert(d.clock.now());
-    smol::Timer::after(LOOK).await;
+/// Waits a moment for an update of the call's quarantine state that another daemon has
+/// received already.
+pub async fn wait_for_update(d: &Daemon, in_doubt_since: &mut Option<Instant>) {
+    in_doubt_since.get_or_insert(d.clock.now());
+    smol::Timer::after(POLL_INTERVAL).await;
 }
 
-fn last_look(work: &Work, since: Instant) -> Instant {
-    work.objective.min(since + MOST_WAIT)
+fn wait_deadline(work: &Work, since: Instant) -> Instant {
+    work.objective.min(since + MAX_WAIT)
 }
 
-fn refused_for_now(d: &Daemon) -> QuarantineDecision {
+fn refuse_disputed(d: &Daemon) -> QuarantineDecision {
     d.metrics.incr("call.disputed");
-    QuarantineDecision::Refuse { retry_after: jitter(MOST_WAIT, fastrand::u64(..)) }
+    QuarantineDecision::Refuse { retry_after: jitter(MAX_WAIT, fastrand::u64(..)) }
 }
 
-/// Gets the key for a trial, if nobody has it and the call is still in doubt.
-async fn begin(d: &Arc<Daemon>, work: &Work) -> Option<Trial> {
-    let mut next = d.quarantine.trials.next.try_lock()?;
+/// Starts a trial if no daemon holds the trial key and the call is still in doubt.
+async fn start_trial(d: &Arc<Daemon>, work: &Work) -> Option<Trial> {
+    let mut next_attempt = d.quarantine.trials.next.try_lock()?;
     let now = d.clock.now();
-    if next.is_some_and(|next| now < next) {
+    if next_attempt.is_some_and(|at| now < at) {
         return None;
     }
-    let trial = match take_key(d).await {
+    let trial = match acquire_key(d).await {
         Ok(trial) => trial,
         Err(err) => {
-            log::info!("call {}: no trial: {err}", work.digest);
+            log::info!("call {}: cannot acquire the trial key: {err}", work.digest);
             None
         }
     };
     let now = d.clock.now();
     let Some(trial) = trial else {
-        *next = Some(now + jitter(TRY_EVERY, fastrand::u64(..)));
+        *next_attempt = Some(now + jitter(ACQUIRE_INTERVAL, fastrand::u64(..)));
         return None;
     };
-    // The one before may have decided it.
+    // The previous trial may have decided whether the call is quarantined.
     let is_doubtful = matches!(
         quarantine::standing(d, work.digest),
         QuarantineState::Quarantined { .. } if quarantine::review(d, work.digest) == Review::Doubtful
@@ -132,34 +137,38 @@
     if !is_doubtful {
         return None;
     }
-    log::warn!("call {} is tried: others were at the same ends, or it is long ago", work.digest);
+    log::warn!(
+        "call {} is tried: other calls share its ended upstreams, or the last one ended long ago",
+        work.digest
+    );
     d.metrics.incr("quarantine.tried");
     Some(trial)
 }
 
-async fn take_key(d: &Arc<Daemon>) -> Result<Option<Trial>, PlatformError> {
-    let lease = d.platform.grant(HELD_FOR).await?;
+async fn acquire_key(d: &Arc<Daemon>) -> Result<Option<Trial>, PlatformError> {
+    let lease = d.platform.grant(KEY_TTL).await?;
     let holder = d.settings.host.as_bytes();
     match d.platform.swap(keys::TRIAL, Revision::ABSENT, holder, Some(lease)).await {
         Ok(Swap::Done) => Ok(Some(Trial { d: d.clone(), lease })),
         Ok(Swap::Lost) => {
-            give_back(d, lease);
+            release_lease(d, lease);
             Ok(None)
         }
-        // The answer may be lost and the key written: it ends with its lease.
+        // The key may have been written although the answer was lost: it is removed with its
+        // lease.
         Err(err) => {
-            give_back(d, lease);
+            release_lease(d, lease);
             Err(err)
         }
     }
 }
 
-fn give_back(d: &Arc<Daemon>, lease: Lease) {
+fn release_lease(d: &Arc<Daemon>, lease: Lease) {
     let d = d.clone();
-    let giving = async move {
+    let revoke = async move {
         if let Err(err) = d.platform.revoke(lease).await {
-            log::info!("the key of a trial ends with its lease: {err}");
+            log::info!("the lease of the trial key was not revoked and will expire: {err}");
         }
     };
-    exec::spawn(giving).detach();
+    exec::spawn(revoke).detach();
 }
