--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -467,7 +467,8 @@
             InterfaceKind::Own => gateway::exchange_with_all(self).await,
             InterfaceKind::Platform => {
                 // If the store cannot be reached, the entry expires with its lease.
-                let _ended = exec::timeout(ENTRY_REMOVAL_TIMEOUT, discovery::remove_entry(self)).await;
+                let _ended =
+                    exec::timeout(ENTRY_REMOVAL_TIMEOUT, discovery::remove_entry(self)).await;
             }
         }
         smol::Timer::after(until.saturating_duration_since(self.clock.now())).await;
--- a/src/daemon/quarantine.rs
+++ b/src/daemon/quarantine.rs
@@ -217,7 +217,10 @@
         handle_restore(d, era);
     }
     let is_current = last_read.is_some_and(|read| read.is_current);
-    if last_read.is_none() || is_restored || (!is_current && d.follows_store.load(Ordering::Relaxed)) {
+    if last_read.is_none()
+        || is_restored
+        || (!is_current && d.follows_store.load(Ordering::Relaxed))
+    {
         *last_read = Some(read_stored(d).await?);
     }
     let unsaved = lock(&d.quarantine.suspects).unsaved(d.clock.now());
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -256,7 +256,9 @@
     if document.version() == 0 {
         return behind < FIRST_READ_WAIT;
     }
-    if d.follows_store.load(Ordering::Relaxed) && document.was_confirmed_within(now, FOLLOWING_MAX_AGE) {
+    if d.follows_store.load(Ordering::Relaxed)
+        && document.was_confirmed_within(now, FOLLOWING_MAX_AGE)
+    {
         return behind < ASK_ANY_MEMBER_AFTER;
     }
     if !document.has_live_follower(now) {
