--- a/src/daemon/request/answer.rs
+++ b/src/daemon/request/answer.rs
@@ -20,11 +20,11 @@
 const HELD_BYTES: usize = SMALL_BYTES as usize;
 
 /// What one attempt brought.
-pub enum Got {
+pub enum AttemptResult {
     /// An answer of the upstream.
     Answer(Answer),
     /// No answer; how far the attempt got, and why.
-    None(Attempt, &'static str),
+    NoAnswer(Attempt, &'static str),
 }
 
 /// An answer of an upstream.
@@ -85,7 +85,7 @@
 /// Small answers are passed on only when they are whole, so that one that breaks
 /// off can be asked for again.
 pub async fn read(mut head: response::Parts, body: Body) -> Result<Answer, &'static str> {
-    headers::strip_ours(&mut head.headers);
+    headers::strip_cicadashift(&mut head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
     match hold(body, HELD_BYTES, u64::MAX).await {
         Ok(Payload::Held(buf)) => Ok(Answer { head, body: AnswerBody::Whole(buf) }),
--- a/src/daemon/request/attempts/mod.rs
+++ b/src/daemon/request/attempts/mod.rs
@@ -6,12 +6,12 @@
 mod second;
 mod so_far;
 
-use super::answer::Got;
+use super::answer::AttemptResult;
 use super::payload::Payload;
 use super::refuse::{refuse, unknown};
 use super::story::{log_choice, log_missed};
 use super::trial::{self, Permit};
-use super::work::Work;
+use super::work::RoutedCall;
 use crate::daemon::{Daemon, quarantine};
 use cicadashift_core::request::MIN_RETRY_AFTER;
 use cicadashift_core::request::retry::{Attempt, CallState, RetryDecision};
@@ -33,7 +33,7 @@
 const STAGE_LOOK: Duration = Duration::from_millis(20);
 
 /// Sends the call until there is something to tell its caller.
-pub async fn run(d: &Arc<Daemon>, mut work: Work, mut payload: Payload) -> Response<Body> {
+pub async fn run(d: &Arc<Daemon>, mut work: RoutedCall, mut payload: Payload) -> Response<Body> {
     d.services.earn(d, &work.service);
     let mut so_far = SoFar::default();
     loop {
@@ -64,18 +64,18 @@
         log_choice(d, &work, &target, so_far.asked());
         let may_have_run = so_far.may_have_run;
         let (attempt, reason) = match attempt(d, &work, &target, &mut payload, &mut so_far).await {
-            Got::Answer(answer) if !answer.is_failure() => {
+            AttemptResult::Answer(answer) if !answer.is_failure() => {
                 if so_far.trial.is_some() {
                     // Others wait for this here; the exit daemon's news take longer.
                     quarantine::ran_well(d, work.digest);
                 }
                 return answer.into_response();
             }
-            Got::Answer(answer) => {
+            AttemptResult::Answer(answer) => {
                 so_far.failure = Some(answer);
                 (Attempt::Unknown, "upstream-failed")
             }
-            Got::None(attempt, reason) => (attempt, reason),
+            AttemptResult::NoAnswer(attempt, reason) => (attempt, reason),
         };
         if reason == FULL {
             so_far.was_full(target.choice.key);
@@ -131,7 +131,7 @@
 ///
 /// Failure: a new version is bad, or has had all calls that it may get. Symptom: callers
 /// are refused although the old version serves.
-fn leave_canaries(work: &mut Work, so_far: &mut SoFar) -> bool {
+fn leave_canaries(work: &mut RoutedCall, so_far: &mut SoFar) -> bool {
     let Some(service) = work.without_canaries.take() else { return false };
     work.service = service;
     // Their keys are of another arena.
@@ -141,14 +141,14 @@
 }
 
 /// Returns why a call is sent to nobody any more, and when its caller may come back.
-fn is_over(work: &Work, so_far: &SoFar, now: Instant) -> Option<(&'static str, Duration)> {
+fn is_over(work: &RoutedCall, so_far: &SoFar, now: Instant) -> Option<(&'static str, Duration)> {
     let is_late = now >= work.deadline;
     is_late.then(|| so_far.last_refusal.unwrap_or(("too-late", MIN_RETRY_AFTER)))
 }
 
 fn decide(
     d: &Daemon,
-    work: &Work,
+    work: &RoutedCall,
     payload: &Payload,
     so_far: &SoFar,
     attempt: Attempt,
@@ -159,7 +159,7 @@
         replayable: payload.is_left(),
         attempts: so_far.asked(),
         arrivals: so_far.arrivals,
-        max_attempts: work.allowed,
+        max_attempts: work.max_attempts,
         may_have_run,
     };
     let left = work.deadline.saturating_duration_since(d.clock.now());
@@ -174,7 +174,7 @@
 /// stays open.
 fn give_up(
     d: &Daemon,
-    work: &Work,
+    work: &RoutedCall,
     so_far: SoFar,
     reason: &str,
     retry_after: Duration,
@@ -185,7 +185,7 @@
     }
 }
 
-fn give_up_unknown(d: &Daemon, work: &Work, so_far: SoFar, reason: &str) -> Response<Body> {
+fn give_up_unknown(d: &Daemon, work: &RoutedCall, so_far: SoFar, reason: &str) -> Response<Body> {
     match so_far.failure {
         Some(answer) => answer.into_response(),
         None => unknown(d, work, reason),
--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/second.rs
@@ -5,11 +5,11 @@
 //! first whole answer is passed on.
 
 use super::so_far::SoFar;
-use crate::daemon::request::answer::Got;
+use crate::daemon::request::answer::AttemptResult;
 use crate::daemon::request::payload::Payload;
 use crate::daemon::request::send::{Patience, send};
 use crate::daemon::request::story::{log_choice, log_missed};
-use crate::daemon::request::work::Work;
+use crate::daemon::request::work::RoutedCall;
 use crate::daemon::services::Target;
 use crate::daemon::{Daemon, liveness, quarantine};
 use cicadashift_core::request::retry::{Attempt, RetryDecision};
@@ -25,13 +25,13 @@
 /// Sends the call to an upstream, and to a second one if the first is late.
 pub async fn attempt(
     d: &Arc<Daemon>,
-    work: &Work,
+    work: &RoutedCall,
     target: &Target,
     payload: &mut Payload,
     so_far: &mut SoFar,
-) -> Got {
+) -> AttemptResult {
     let Some(body) = payload.take() else {
-        return Got::None(Attempt::Unknown, "body-spent");
+        return AttemptResult::NoAnswer(Attempt::Unknown, "body-spent");
     };
     let began = d.clock.now();
     let patience = match payload.is_left() {
@@ -43,7 +43,7 @@
     // A suspected call is not sent to two upstreams at once.
     let is_clear = quarantine::standing(d, work.digest) == QuarantineState::Clear;
     let may_double =
-        is_clear && work.repeatable && payload.is_left() && so_far.arrivals + 1 < work.allowed;
+        is_clear && work.repeatable && payload.is_left() && so_far.arrivals + 1 < work.max_attempts;
     let why = match race(first.as_mut(), late(d, work, target, may_double)).await {
         Raced::First(got) => return got,
         Raced::Second(why) => why,
@@ -78,13 +78,13 @@
 ///
 /// A daemon that stops gives nothing up: a slow host may look silent and still be
 /// at work, and a planned stop must not cut that.
-async fn without_spare<F: Future<Output = Got>>(
+async fn without_spare<F: Future<Output = AttemptResult>>(
     d: &Arc<Daemon>,
-    work: &Work,
+    work: &RoutedCall,
     target: &Target,
     mut first: Sending<F>,
     why: &'static str,
-) -> Got {
+) -> AttemptResult {
     if !work.repeatable || d.is_leaving() {
         return first.await;
     }
@@ -97,11 +97,16 @@
     if d.is_leaving() {
         return first.await;
     }
-    Got::None(Attempt::Unknown, HOST_SILENT)
+    AttemptResult::NoAnswer(Attempt::Unknown, HOST_SILENT)
 }
 
 /// Returns why a second attempt is due, once it is.
-async fn late(d: &Arc<Daemon>, work: &Work, target: &Target, may_double: bool) -> &'static str {
+async fn late(
+    d: &Arc<Daemon>,
+    work: &RoutedCall,
+    target: &Target,
+    may_double: bool,
+) -> &'static str {
     let demand = work.demand(d.clock.now());
     let after = d.services.with(&work.service, |service| {
         // A second large answer would keep a second link as busy as the first.
@@ -143,10 +148,10 @@
 type Sending<F> = Pin<Box<F>>;
 
 /// Returns the first good answer of two, or else what says most.
-async fn better_of<F, G>(mut first: Sending<F>, mut second: Sending<G>) -> Got
+async fn better_of<F, G>(mut first: Sending<F>, mut second: Sending<G>) -> AttemptResult
 where
-    F: Future<Output = Got>,
-    G: Future<Output = Got>,
+    F: Future<Output = AttemptResult>,
+    G: Future<Output = AttemptResult>,
 {
     let (got, other) = match race(first.as_mut(), second.as_mut()).await {
         Raced::First(got) if is_good(&got) => return got,
@@ -156,15 +161,18 @@
     };
     match (got, other) {
         (_, other) if is_good(&other) => other,
-        (Got::Answer(failure), _) | (_, Got::Answer(failure)) => Got::Answer(failure),
+        (AttemptResult::Answer(failure), _) | (_, AttemptResult::Answer(failure)) => {
+            AttemptResult::Answer(failure)
+        }
         // What one of them left open stays open.
-        (Got::None(Attempt::Unknown, why), _) | (_, Got::None(Attempt::Unknown, why)) => {
-            Got::None(Attempt::Unknown, why)
+        (AttemptResult::NoAnswer(Attempt::Unknown, why), _)
+        | (_, AttemptResult::NoAnswer(Attempt::Unknown, why)) => {
+            AttemptResult::NoAnswer(Attempt::Unknown, why)
         }
         (got, _) => got,
     }
 }
 
-fn is_good(got: &Got) -> bool {
-    matches!(got, Got::Answer(answer) if !answer.is_failure())
+fn is_good(got: &AttemptResult) -> bool {
+    matches!(got, AttemptResult::Answer(answer) if !answer.is_failure())
 }
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -4,9 +4,9 @@
 use super::digest::Asked;
 use super::payload::{MAX_HELD, hold};
 use super::sender::{self, Sender};
-use super::story::Refuse;
+use super::story::RefuseLine;
 use super::tracked::Counted;
-use super::work::{Work, pick_part};
+use super::work::{RoutedCall, pick_part};
 use super::{headers, paced};
 use crate::daemon::Daemon;
 use crate::daemon::source::CALLER_IDLE_MOST;
@@ -117,12 +117,12 @@
     });
     let left = headers::number(&head.headers, call::ATTEMPTS);
     let most = route.max_attempts.unwrap_or(MAX_ATTEMPTS);
-    let allowed = left.map_or(most, |left| left.min(u64::from(most)) as u32);
+    let max_attempts = left.map_or(most, |left| left.min(u64::from(most)) as u32);
     let caller = match &organisation {
         Some(account) => account.limit.0,
         None => caller_key(&head, peer),
     };
-    headers::strip_ours(&mut head.headers);
+    headers::strip_cicadashift(&mut head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
     let turn = head.extensions.remove::<Turn>();
     let mut payload = match exec::timeout(time, hold(incoming, MAX_HELD, route.max_body)).await {
@@ -148,7 +148,7 @@
     };
     let objective = first_came + route.objective();
     let deadline = d.latest_end(started + time);
-    let work = Work {
+    let work = RoutedCall {
         request_id,
         digest,
         version,
@@ -164,7 +164,7 @@
         started,
         deadline,
         objective,
-        allowed,
+        max_attempts,
         head,
         turn,
     };
@@ -247,7 +247,7 @@
     d.metrics.incr("call.over_quota");
     let wait = jitter(OVER_QUOTA_WAIT, fastrand::u64(..));
     let status = StatusCode::TOO_MANY_REQUESTS;
-    crate::logging::decision(&Refuse {
+    crate::logging::decision(&RefuseLine {
         organisation,
         ..unrouted(d, request, version, "over-quota", status, wait)
     });
@@ -291,8 +291,8 @@
     why: &'a str,
     status: StatusCode,
     wait: Duration,
-) -> Refuse<'a> {
-    Refuse {
+) -> RefuseLine<'a> {
+    RefuseLine {
         kind: "refuse",
         request,
         organisation: "",
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -3,7 +3,7 @@
 use super::headers;
 use super::paced::Expected;
 use super::payload::{Payload, hold};
-use super::story::Admit;
+use super::story::AdmitLine;
 use super::tracked::{Counted, Tracked};
 use crate::daemon::gates::ended;
 use crate::daemon::gates::local::{Local, Pass};
@@ -194,7 +194,7 @@
     left: Duration,
 ) {
     let dialect = &d.dialect;
-    headers::strip_ours(head);
+    headers::strip_cicadashift(head);
     headers::insert(head, &dialect.request_id, &cx.request_id);
     headers::insert(head, &dialect.deadline_ms, &left.as_millis().to_string());
     if let Some(name) = &dialect.caller_service {
@@ -241,7 +241,7 @@
         keep_when_whole(incoming, connection, local);
         return res;
     }
-    headers::strip_ours(&mut head.headers);
+    headers::strip_cicadashift(&mut head.headers);
     let idle = idle_time(&head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
     let service = d.clock.now().saturating_duration_since(started);
@@ -425,7 +425,7 @@
     let waited = d.clock.now().saturating_duration_since(since);
     crate::logging::ordinary(
         result == "run",
-        &Admit {
+        &AdmitLine {
             kind: "admit",
             request: &cx.request_id,
             digest: cx.digest.to_string(),
--- a/src/daemon/request/headers.rs
+++ b/src/daemon/request/headers.rs
@@ -36,7 +36,7 @@
 }
 
 /// Removes every header of ours.
-pub fn strip_ours(headers: &mut HeaderMap) {
+pub fn strip_cicadashift(headers: &mut HeaderMap) {
     let ours: Vec<HeaderName> =
         headers.keys().filter(|name| name.as_str().starts_with(call::PREFIX)).cloned().collect();
     for name in ours {
--- a/src/daemon/request/refuse.rs
+++ b/src/daemon/request/refuse.rs
@@ -1,6 +1,6 @@
 //! Answers of our own to routed calls.
 
-use super::work::Work;
+use super::work::RoutedCall;
 use super::{headers, story};
 use crate::daemon::Daemon;
 use cicadashift_http::body::Body;
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 /// Logs and makes the answer that a routed call did not run.
-pub fn refuse(d: &Daemon, work: &Work, why: &str, wait: Duration) -> Response<Body> {
+pub fn refuse(d: &Daemon, work: &RoutedCall, why: &str, wait: Duration) -> Response<Body> {
     d.metrics.incr("call.refused");
     log_end(d, work, why, StatusCode::SERVICE_UNAVAILABLE, wait);
     headers::not_run(why, wait, d.dialect.fractional_retry_after)
 }
 
 /// Logs and makes the answer that a routed call may have run.
-pub fn unknown(d: &Daemon, work: &Work, why: &str) -> Response<Body> {
+pub fn unknown(d: &Daemon, work: &RoutedCall, why: &str) -> Response<Body> {
     d.metrics.incr("call.unknown");
     let status = match why {
         "deadline" | "too-late" => StatusCode::GATEWAY_TIMEOUT,
@@ -25,9 +25,9 @@
     headers::unknown(status, why)
 }
 
-fn log_end(d: &Daemon, work: &Work, why: &str, status: StatusCode, wait: Duration) {
+fn log_end(d: &Daemon, work: &RoutedCall, why: &str, status: StatusCode, wait: Duration) {
     let now = d.clock.now();
-    crate::logging::decision(&story::Refuse {
+    crate::logging::decision(&story::RefuseLine {
         kind: "refuse",
         request: &work.request_id,
         organisation: &work.organisation,
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -1,8 +1,8 @@
 //! One attempt: to the exit side of the upstream's host, and its answer back.
 
-use super::answer::{self, Got};
+use super::answer::{self, AttemptResult};
 use super::tracked::Tracked;
-use super::work::Work;
+use super::work::RoutedCall;
 use super::{exit, headers};
 use crate::daemon::costs::Purpose;
 use crate::daemon::services::{Flight, Target};
@@ -52,18 +52,18 @@
 /// It is taken on only where it has to wait no longer than `patience` says.
 pub async fn send(
     d: &Arc<Daemon>,
-    work: &Work,
+    work: &RoutedCall,
     target: &Target,
     body: Body,
     patience: Patience,
-) -> Got {
+) -> AttemptResult {
     let started = d.clock.now();
     let demand = work.demand(started);
     let flight = Flight::new(d, &work.service, target.choice.key, demand);
     let left = work.deadline.saturating_duration_since(started);
     let Some(to) = d.members.address(target.host) else {
         flight.end(Outcome::Unreached);
-        return Got::None(Attempt::unreached(), "unreached");
+        return AttemptResult::NoAnswer(Attempt::unreached(), "unreached");
     };
     lock(&d.liveness).call_sent(target.host, started);
     let cx = context(d, work, target, left, patience, started);
@@ -81,14 +81,14 @@
             flight.end(if unsent { Outcome::Unreached } else { Outcome::Failed });
             log::debug!("call {}: exit daemon at {to}: {err}", work.request_id);
             return match unsent {
-                true => Got::None(Attempt::unreached(), "unreached"),
-                false => Got::None(Attempt::Unknown, "exit-broke"),
+                true => AttemptResult::NoAnswer(Attempt::unreached(), "unreached"),
+                false => AttemptResult::NoAnswer(Attempt::Unknown, "exit-broke"),
             };
         }
         None => {
             flight.end(Outcome::Failed);
             d.mesh_pool.forget(to);
-            return Got::None(Attempt::Unknown, "deadline");
+            return AttemptResult::NoAnswer(Attempt::Unknown, "deadline");
         }
     };
     liveness::heard(d, target.host);
@@ -125,12 +125,12 @@
 
 async fn read_answer(
     d: &Arc<Daemon>,
-    work: &Work,
+    work: &RoutedCall,
     target: &Target,
     res: Response<Body>,
     flight: Flight,
     started: Instant,
-) -> Got {
+) -> AttemptResult {
     let (head, body) = res.into_parts();
     d.costs.add(
         Purpose::Answer,
@@ -160,7 +160,7 @@
             Attempt::NotRun { retry_after, .. } => Outcome::Refused { retry_after, report },
             Attempt::Unknown | Attempt::Answered => Outcome::Failed,
         });
-        return Got::None(attempt, reason);
+        return AttemptResult::NoAnswer(attempt, reason);
     }
     let service = headers::number(&head.headers, call::SERVICE_US).map(Duration::from_micros);
     let left = work.deadline.saturating_duration_since(d.clock.now()) + ANSWER_MARGIN;
@@ -175,15 +175,15 @@
             let kind = KindKey(work.kind);
             let large = answer.is_large();
             d.services.with(&work.service, |service| service.picker.set_large(kind, large));
-            Got::Answer(answer)
+            AttemptResult::Answer(answer)
         }
         Some(Err(why)) => {
             flight.end(Outcome::Failed);
-            Got::None(Attempt::Unknown, why)
+            AttemptResult::NoAnswer(Attempt::Unknown, why)
         }
         None => {
             flight.end(Outcome::Failed);
-            Got::None(Attempt::Unknown, "deadline")
+            AttemptResult::NoAnswer(Attempt::Unknown, "deadline")
         }
     }
 }
@@ -205,7 +205,7 @@
 
 fn context(
     d: &Daemon,
-    work: &Work,
+    work: &RoutedCall,
     target: &Target,
     left: Duration,
     patience: Patience,
@@ -228,14 +228,14 @@
         organisation: work.organisation.clone(),
         // What this call may still use is shared by all calls below it, so that
         // retries at nine levels add up instead of multiplying.
-        attempts: work.allowed.saturating_sub(1).max(1),
+        attempts: work.max_attempts.saturating_sub(1).max(1),
         version: work.version,
         is_trial: patience.is_trial,
         limit_thousandths: said.map(|limit| limit.thousandths()),
     }
 }
 
-fn request(work: &Work, body: Body) -> Request<Body> {
+fn request(work: &RoutedCall, body: Body) -> Request<Body> {
     let mut req = Request::new(body);
     *req.method_mut() = work.head.method.clone();
     *req.uri_mut() = work.head.uri.clone();
--- a/src/daemon/request/story.rs
+++ b/src/daemon/request/story.rs
@@ -4,7 +4,7 @@
 //! one request, gathered from the daemons it passed, tell its story.
 //! `docs/LOGS.md` lists the fields.
 
-use super::work::Work;
+use super::work::RoutedCall;
 use crate::daemon::Daemon;
 use crate::daemon::services::Target;
 use cicadashift_core::request::choose::Reason;
@@ -14,7 +14,7 @@
 
 /// An entry daemon's choice of an upstream.
 #[derive(Serialize)]
-pub struct Choose<'a> {
+pub struct ChooseLine<'a> {
     /// Names the kind of line.
     pub kind: &'static str,
     /// The request's id.
@@ -45,7 +45,7 @@
 
 /// How one attempt ended without an answer for the caller.
 #[derive(Serialize)]
-pub struct Missed<'a> {
+pub struct MissedLine<'a> {
     /// Names the kind of line.
     pub kind: &'static str,
     /// The request's id.
@@ -64,7 +64,7 @@
 
 /// What a caller was told in place of an answer.
 #[derive(Serialize)]
-pub struct Refuse<'a> {
+pub struct RefuseLine<'a> {
     /// Names the kind of line.
     pub kind: &'static str,
     /// The request's id.
@@ -90,7 +90,7 @@
 
 /// An exit daemon's decision.
 #[derive(Serialize)]
-pub struct Admit<'a> {
+pub struct AdmitLine<'a> {
     /// Names the kind of line.
     pub kind: &'static str,
     /// The request's id.
@@ -114,7 +114,7 @@
 }
 
 /// Logs the choice of an upstream.
-pub fn log_choice(d: &Daemon, work: &Work, target: &Target, attempt: u32) {
+pub fn log_choice(d: &Daemon, work: &RoutedCall, target: &Target, attempt: u32) {
     let why = match target.choice.reason {
         Reason::Near => "near",
         Reason::Spill => "spill",
@@ -124,7 +124,7 @@
     };
     let now = d.clock.now();
     let left = work.deadline.saturating_duration_since(now);
-    let line = Choose {
+    let line = ChooseLine {
         kind: "choose",
         request: &work.request_id,
         digest: work.digest.to_string(),
@@ -145,7 +145,7 @@
 /// Logs how an attempt ended that brought no answer to pass on.
 pub fn log_missed(
     d: &Daemon,
-    work: &Work,
+    work: &RoutedCall,
     target: &Target,
     attempt: Attempt,
     why: &str,
@@ -162,7 +162,7 @@
         RetryDecision::Refuse { .. } => "refuse",
         RetryDecision::Answer | RetryDecision::Unknown => "give-up",
     };
-    crate::logging::decision(&Missed {
+    crate::logging::decision(&MissedLine {
         kind: "missed",
         request: &work.request_id,
         upstream: &target.instance,
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -10,7 +10,7 @@
 //! freezes during its trial loses the key after [`HELD_FOR`], and another one may try
 //! beside it.
 
-use super::work::Work;
+use super::work::RoutedCall;
 use crate::daemon::{Daemon, quarantine};
 use crate::store::{Lease, Platform, PlatformError, Revision, Swap, keys};
 use cicadashift_core::request::jitter;
@@ -57,7 +57,7 @@
 /// Waits until a call is cleared, refused or on trial.
 ///
 /// `doubted` is when it was first found to be in doubt; it is set here.
-pub async fn permit(d: &Arc<Daemon>, work: &Work, doubted: &mut Option<Instant>) -> Permit {
+pub async fn permit(d: &Arc<Daemon>, work: &RoutedCall, doubted: &mut Option<Instant>) -> Permit {
     loop {
         let now = d.clock.now();
         let is_overdue = doubted.is_some_and(|since| now >= last_look(work, since));
@@ -92,7 +92,7 @@
     smol::Timer::after(LOOK).await;
 }
 
-fn last_look(work: &Work, since: Instant) -> Instant {
+fn last_look(work: &RoutedCall, since: Instant) -> Instant {
     work.objective.min(since + MOST_WAIT)
 }
 
@@ -102,7 +102,7 @@
 }
 
 /// Gets the key for a trial, if nobody has it and the call is still in doubt.
-async fn begin(d: &Arc<Daemon>, work: &Work) -> Option<Trial> {
+async fn begin(d: &Arc<Daemon>, work: &RoutedCall) -> Option<Trial> {
     let mut next = d.quarantine.trials.next.try_lock()?;
     let now = d.clock.now();
     if next.is_some_and(|next| now < next) {
--- a/src/daemon/request/work.rs
+++ b/src/daemon/request/work.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 /// A matched call on its way.
-pub struct Work {
+pub struct RoutedCall {
     /// Names the call.
     pub request_id: String,
     /// Names what it asks for, whatever its id.
@@ -42,14 +42,14 @@
     /// Until when an answer is worth most.
     pub objective: Instant,
     /// Upstreams that it may be sent to.
-    pub allowed: u32,
+    pub max_attempts: u32,
     /// Its head.
     pub head: Parts,
     /// When its answer can leave, where others of its connection go before.
     pub turn: Option<Turn>,
 }
 
-impl Work {
+impl RoutedCall {
     pub fn demand(&self, now: Instant) -> Demand {
         Demand {
             kind: KindKey(self.kind),
