--- a/src/daemon/request/answer.rs
+++ b/src/daemon/request/answer.rs
@@ -1,4 +1,4 @@
-//! From the exit daemon's answer to the caller's.
+//! Turns an exit daemon's response into the answer for the caller.
 
 use super::headers;
 use super::payload::{Payload, hold};
@@ -11,19 +11,19 @@
 use cicadashift_wire::call;
 use std::time::Duration;
 
-/// Time to come back that is assumed where an exit daemon names none.
+/// `Retry-After` that is assumed if an exit daemon names none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Largest answer that is held until it is whole, in bytes. What is larger goes on as
-/// it comes: its upstream's host has it whole, and waiting for 64 KB of it would cost
-/// a tenth of a second on a link of 5 Mbit/s.
-const HELD_BYTES: usize = SMALL_BYTES as usize;
+/// Largest answer that is buffered whole before it is passed on, in bytes. Larger answers
+/// are streamed: their upstream's host holds them whole, and waiting here for 64 KB would
+/// cost a tenth of a second on a link of 5 Mbit/s.
+const MAX_HELD_BYTES: usize = SMALL_BYTES as usize;
 
-/// What one attempt brought.
+/// Result of one attempt.
 pub enum AttemptResult {
     /// An answer of the upstream.
     Answer(Answer),
-    /// No answer; how far the attempt got, and why.
+    /// No answer: how far the attempt got, and the reason.
     NoAnswer(Attempt, &'static str),
 }
 
@@ -31,25 +31,25 @@
 pub struct Answer {
     /// Its head.
     pub head: response::Parts,
-    /// Its body, or as much as there is so far.
+    /// Its body.
     pub body: AnswerBody,
 }
 
 /// The body of an answer.
 pub enum AnswerBody {
-    /// All of it.
+    /// Buffered whole.
     Whole(Bytes),
-    /// Too large to be held; if it breaks off, so does the caller's connection.
+    /// Too large to be buffered; if it breaks off, the caller's connection is cut too.
     Streaming(Body),
 }
 
 impl Answer {
-    /// Returns whether the upstream failed, in a way that another may not.
+    /// Returns whether the status is a failure that another upstream may not have.
     pub fn is_failure(&self) -> bool {
         matches!(self.head.status, StatusCode::INTERNAL_SERVER_ERROR | StatusCode::BAD_GATEWAY)
     }
 
-    /// Returns whether it is so large that the link of the upstream's host counts.
+    /// Returns whether it is large enough to be scheduled on the link of the upstream's host.
     pub fn is_large(&self) -> bool {
         match &self.body {
             AnswerBody::Whole(buf) => buf.len() as u64 > SMALL_BYTES,
@@ -67,7 +67,8 @@
     }
 }
 
-/// Returns what an exit daemon said in place of an answer, if it did.
+/// Returns the outcome and reason that an exit daemon reports in place of an answer, if the
+/// response is such a report.
 pub fn refusal(head: &response::Parts) -> Option<(Attempt, &'static str)> {
     let outcome = headers::text(&head.headers, call::OUTCOME)?;
     let reason = known_reason(headers::text(&head.headers, call::REASON));
@@ -80,14 +81,14 @@
     Some((Attempt::NotRun { retry_after, arrived }, reason))
 }
 
-/// Reads an answer as far as it is held.
+/// Reads an answer, up to `MAX_HELD_BYTES` of its body.
 ///
-/// Small answers are passed on only when they are whole, so that one that breaks
-/// off can be asked for again.
+/// Small answers are passed on only once they are complete, so that a call whose answer
+/// breaks off can be sent again.
 pub async fn read(mut head: response::Parts, body: Body) -> Result<Answer, &'static str> {
     headers::strip_cicadashift(&mut head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
-    match hold(body, HELD_BYTES, u64::MAX).await {
+    match hold(body, MAX_HELD_BYTES, u64::MAX).await {
         Ok(Payload::Held(buf)) => Ok(Answer { head, body: AnswerBody::Whole(buf) }),
         Ok(Payload::Streamed(body, _)) => {
             let body = body.unwrap_or_else(body::empty);
@@ -97,7 +98,8 @@
     }
 }
 
-/// Returns one of our reasons; text from the network goes no further.
+/// Maps a reason header to one of the known reasons, so that no text from the network gets
+/// into logs or responses.
 fn known_reason(text: Option<&str>) -> &'static str {
     const REASONS: [&str; 21] = [
         call::UPSTREAM_ENDED,
--- a/src/daemon/request/attempts/mod.rs
+++ b/src/daemon/request/attempts/mod.rs
@@ -1,7 +1,7 @@
-//! Choosing an upstream, sending the call there, and deciding what follows.
+//! Chooses an upstream, sends the call to it, and decides whether to retry.
 //!
-//! A call is sent to one upstream after the other. [`so_far`] what is
-//! known after some attempts, [`second`] one attempt with another beside it.
+//! Upstreams are tried one after the other. [`so_far`] records the outcome of the attempts
+//! so far; [`second`] makes one attempt, with a hedged one beside it if the first is late.
 
 mod second;
 mod so_far;
@@ -9,7 +9,7 @@
 use super::answer::AttemptResult;
 use super::payload::Payload;
 use super::refuse::{refuse, unknown};
-use super::story::{log_choice, log_missed};
+use super::story::{log_choice, log_failed_attempt};
 use super::trial::{self, Permit};
 use super::work::RoutedCall;
 use crate::daemon::{Daemon, quarantine};
@@ -19,175 +19,188 @@
 use cicadashift_http::hyper::Response;
 use cicadashift_wire::call;
 use second::attempt;
-use so_far::SoFar;
+use so_far::AttemptHistory;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Why a host did not take a call on that would have had to wait.
+/// Refusal reason of a host where the call would have to wait for a slot.
 const FULL: &str = "full";
-/// Why a host did not take a large answer on.
+/// Refusal reason of a host whose link is too busy for a large answer.
 const LINK_BUSY: &str = "link-busy";
-/// Why a host did not take a call on that another version is to serve.
+/// Refusal reason of a host whose upstream must leave the call to another version.
 const HELD_BACK: &str = "held-back";
-/// Time between two tries meanwhile.
-const STAGE_LOOK: Duration = Duration::from_millis(20);
+/// Pause before a call that a host left to another version is sent again.
+const STAGE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Sends the call until there is something to tell its caller.
-pub async fn run(d: &Arc<Daemon>, mut work: RoutedCall, mut payload: Payload) -> Response<Body> {
-    d.services.earn(d, &work.service);
-    let mut so_far = SoFar::default();
+/// Makes attempts until one gives an answer or the call is given up.
+pub async fn run(d: &Arc<Daemon>, mut call: RoutedCall, mut payload: Payload) -> Response<Body> {
+    d.services.earn(d, &call.service);
+    let mut history = AttemptHistory::default();
     loop {
         let now = d.clock.now();
-        if let Some((reason, wait)) = is_over(&work, &so_far, now) {
-            return give_up(d, &work, so_far, reason, wait);
+        if let Some((reason, wait)) = give_up_reason(&call, &history, now) {
+            return give_up(d, &call, history, reason, wait);
         }
-        if so_far.trial.is_none() {
-            match trial::permit(d, &work, &mut so_far.doubted).await {
+        if history.trial.is_none() {
+            match trial::permit(d, &call, &mut history.in_doubt_since).await {
                 Permit::Sent => {}
-                Permit::Tried(trial) => so_far.trial = Some(trial),
+                Permit::Tried(trial) => history.trial = Some(trial),
                 Permit::Refused { retry_after } => {
-                    return give_up(d, &work, so_far, call::QUARANTINED, retry_after);
+                    return give_up(d, &call, history, call::QUARANTINED, retry_after);
                 }
             }
         }
         let now = d.clock.now();
-        let target = match d.services.choose(&work.service, work.demand(now), now, &so_far.tried) {
+        let target = match d.services.choose(&call.service, call.demand(now), now, &history.tried) {
             Ok(target) => target,
-            Err(_) if leave_canaries(&mut work, &mut so_far) => continue,
-            Err(_) if so_far.back_to_full() => continue,
+            Err(_) if fall_back_to_stable(&mut call, &mut history) => continue,
+            Err(_) if history.retry_full() => continue,
             Err(wait) => {
-                let (reason, wait) = so_far.last_refusal.unwrap_or(("no-upstream", wait));
-                return give_up(d, &work, so_far, reason, wait);
+                let (reason, wait) = history.last_refusal.unwrap_or(("no-upstream", wait));
+                return give_up(d, &call, history, reason, wait);
             }
         };
-        so_far.tried.push(target.choice.key);
-        log_choice(d, &work, &target, so_far.asked());
-        let may_have_run = so_far.may_have_run;
-        let (attempt, reason) = match attempt(d, &work, &target, &mut payload, &mut so_far).await {
+        history.tried.push(target.choice.key);
+        log_choice(d, &call, &target, history.attempts());
+        let may_have_run = history.may_have_run;
+        let (attempt, reason) = match attempt(d, &call, &target, &mut payload, &mut history).await {
             AttemptResult::Answer(answer) if !answer.is_failure() => {
-                if so_far.trial.is_some() {
-                    // Others wait for this here; the exit daemon's news take longer.
-                    quarantine::ran_well(d, work.digest);
+                if history.trial.is_some() {
+                    // Other calls with this digest wait here for the trial's result; the
+                    // exit daemon's report takes longer to arrive.
+                    quarantine::ran_well(d, call.digest);
                 }
                 return answer.into_response();
             }
             AttemptResult::Answer(answer) => {
-                so_far.failure = Some(answer);
+                history.failure = Some(answer);
                 (Attempt::Unknown, "upstream-failed")
             }
             AttemptResult::NoAnswer(attempt, reason) => (attempt, reason),
         };
         if reason == FULL {
-            so_far.was_full(target.choice.key);
+            history.record_full(target.choice.key);
             continue;
         }
         if reason == LINK_BUSY {
-            so_far.tried.retain(|key| *key != target.choice.key);
-            so_far.links_busy += 1;
+            history.tried.retain(|key| *key != target.choice.key);
+            history.link_refusals += 1;
         }
-        so_far.missed(attempt, reason);
+        history.record_failure(attempt, reason);
         if attempt.may_have_arrived() {
-            so_far.trial = None;
+            history.trial = None;
         }
-        let has_left_canaries = leave_canaries(&mut work, &mut so_far);
-        // What cannot be sent again is refused below, as not run.
-        let may_be_sent = payload.is_left() && !attempt.may_have_arrived();
-        if has_left_canaries && may_be_sent {
+        let fell_back = fall_back_to_stable(&mut call, &mut history);
+        // A call that cannot be sent again is left to the retry decision below, which
+        // refuses it as not run unless it may have run.
+        let can_resend = payload.is_left() && !attempt.may_have_arrived();
+        if fell_back && can_resend {
             continue;
         }
-        if reason == HELD_BACK && may_be_sent && so_far.may_wait_for_stage(d.clock.now()) {
-            so_far.tried.retain(|key| *key != target.choice.key);
-            smol::Timer::after(STAGE_LOOK).await;
+        if reason == HELD_BACK && can_resend && history.may_wait_for_stage(d.clock.now()) {
+            history.tried.retain(|key| *key != target.choice.key);
+            smol::Timer::after(STAGE_RETRY_INTERVAL).await;
             continue;
         }
-        if reason == call::DISPUTED && may_be_sent {
-            so_far.tried.retain(|key| *key != target.choice.key);
-            trial::wait_for_news(d, &mut so_far.doubted).await;
+        if reason == call::DISPUTED && can_resend {
+            history.tried.retain(|key| *key != target.choice.key);
+            trial::wait_for_news(d, &mut history.in_doubt_since).await;
             continue;
         }
         if let (Attempt::NotRun { retry_after, .. }, call::QUARANTINED) = (attempt, reason) {
-            // This daemon has not heard of it yet; another host would run it.
+            // This daemon does not know of the quarantine yet, and another host that does
+            // not know of it either would run the call.
             d.metrics.incr("call.quarantined");
-            return give_up(d, &work, so_far, reason, retry_after);
+            return give_up(d, &call, history, reason, retry_after);
         }
-        let verdict = decide(d, &work, &payload, &so_far, attempt, may_have_run);
-        log_missed(d, &work, &target, attempt, reason, verdict, now);
-        match verdict {
+        let decision = decide(d, &call, &payload, &history, attempt, may_have_run);
+        log_failed_attempt(d, &call, &target, attempt, reason, decision, now);
+        match decision {
             RetryDecision::Retry => d.metrics.incr("call.retried"),
             RetryDecision::Refuse { retry_after } => {
-                // Others that refused may be free sooner than the last one.
-                let wait = so_far.last_refusal.map_or(retry_after, |(_, wait)| wait);
-                return refuse(d, &work, reason, retry_after.min(wait.max(MIN_RETRY_AFTER)));
+                // An upstream that refused earlier may be free sooner than the last one.
+                let wait = history.last_refusal.map_or(retry_after, |(_, wait)| wait);
+                return refuse(d, &call, reason, retry_after.min(wait.max(MIN_RETRY_AFTER)));
             }
             RetryDecision::Answer | RetryDecision::Unknown => {
-                return give_up_unknown(d, &work, so_far, reason);
+                return give_up_unknown(d, &call, history, reason);
             }
         }
     }
 }
 
-/// Sends a call that canaries did not serve on to the upstreams that do; returns whether
-/// it was theirs.
+/// Redirects a call for canaries to the service's other upstreams; returns whether it was
+/// for canaries.
 ///
-/// Failure: a new version is bad, or has had all calls that it may get. Symptom: callers
-/// are refused although the old version serves.
-fn leave_canaries(work: &mut RoutedCall, so_far: &mut SoFar) -> bool {
-    let Some(service) = work.without_canaries.take() else { return false };
-    work.service = service;
-    // Their keys are of another arena.
-    so_far.tried.clear();
-    so_far.full.clear();
+/// Failure: a new version is bad, or has had all the calls that it may get. Symptom:
+/// callers are refused although the old version serves.
+fn fall_back_to_stable(call: &mut RoutedCall, history: &mut AttemptHistory) -> bool {
+    let Some(service) = call.stable_service.take() else { return false };
+    call.service = service;
+    // The recorded keys belong to the picker of the canaries.
+    history.tried.clear();
+    history.full.clear();
     true
 }
 
-/// Returns why a call is sent to nobody any more, and when its caller may come back.
-fn is_over(work: &RoutedCall, so_far: &SoFar, now: Instant) -> Option<(&'static str, Duration)> {
-    let is_late = now >= work.deadline;
-    is_late.then(|| so_far.last_refusal.unwrap_or(("too-late", MIN_RETRY_AFTER)))
+/// Returns the reason and the `Retry-After` of a call whose deadline has passed, or `None`
+/// before.
+fn give_up_reason(
+    call: &RoutedCall,
+    history: &AttemptHistory,
+    now: Instant,
+) -> Option<(&'static str, Duration)> {
+    let is_late = now >= call.deadline;
+    is_late.then(|| history.last_refusal.unwrap_or(("too-late", MIN_RETRY_AFTER)))
 }
 
 fn decide(
     d: &Daemon,
-    work: &RoutedCall,
+    call: &RoutedCall,
     payload: &Payload,
-    so_far: &SoFar,
+    history: &AttemptHistory,
     attempt: Attempt,
     may_have_run: bool,
 ) -> RetryDecision {
-    let call = CallState {
-        repeatable: work.repeatable,
+    let state = CallState {
+        repeatable: call.repeatable,
         replayable: payload.is_left(),
-        attempts: so_far.asked(),
-        arrivals: so_far.arrivals,
-        max_attempts: work.max_attempts,
+        attempts: history.attempts(),
+        arrivals: history.arrivals,
+        max_attempts: call.max_attempts,
         may_have_run,
     };
-    let left = work.deadline.saturating_duration_since(d.clock.now());
+    let left = call.deadline.saturating_duration_since(d.clock.now());
     let random = fastrand::u64(..);
-    let verdict = d
+    let decision = d
         .services
-        .with(&work.service, |service| call.decide(attempt, left, &mut service.budget, random));
-    verdict.unwrap_or(RetryDecision::Unknown)
+        .with(&call.service, |service| state.decide(attempt, left, &mut service.budget, random));
+    decision.unwrap_or(RetryDecision::Unknown)
 }
 
-/// Ends a call that cannot be tried again; what an earlier attempt left open
-/// stays open.
+/// Ends a call that is not tried again: as not run, or with an unknown outcome if an
+/// earlier attempt may have run.
 fn give_up(
     d: &Daemon,
-    work: &RoutedCall,
-    so_far: SoFar,
+    call: &RoutedCall,
+    history: AttemptHistory,
     reason: &str,
     retry_after: Duration,
 ) -> Response<Body> {
-    match so_far.may_have_run {
-        true => give_up_unknown(d, work, so_far, reason),
-        false => refuse(d, work, reason, retry_after),
+    match history.may_have_run {
+        true => give_up_unknown(d, call, history, reason),
+        false => refuse(d, call, reason, retry_after),
     }
 }
 
-fn give_up_unknown(d: &Daemon, work: &RoutedCall, so_far: SoFar, reason: &str) -> Response<Body> {
-    match so_far.failure {
+fn give_up_unknown(
+    d: &Daemon,
+    call: &RoutedCall,
+    history: AttemptHistory,
+    reason: &str,
+) -> Response<Body> {
+    match history.failure {
         Some(answer) => answer.into_response(),
-        None => unknown(d, work, reason),
+        None => unknown(d, call, reason),
     }
 }
--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/second.rs
@@ -1,14 +1,14 @@
-//! One attempt, and a second one beside it where the first is late.
+//! One attempt, with a hedged second attempt beside it if the first is late.
 //!
-//! If an answer is so late for its kind that it may be lost, or the host it is to come from
-//! gives no sign of life, a call that may be repeated is sent to a second upstream, and the
-//! first whole answer is passed on.
+//! If an answer is so late for its kind of call that it may be lost, or the upstream's host
+//! gives no sign of life, a call that may be repeated is also sent to a second upstream.
+//! The first good answer of the two is passed on.
 
-use super::so_far::SoFar;
+use super::so_far::AttemptHistory;
 use crate::daemon::request::answer::AttemptResult;
 use crate::daemon::request::payload::Payload;
 use crate::daemon::request::send::{Patience, send};
-use crate::daemon::request::story::{log_choice, log_missed};
+use crate::daemon::request::story::{log_choice, log_failed_attempt};
 use crate::daemon::request::work::RoutedCall;
 use crate::daemon::services::Target;
 use crate::daemon::{Daemon, liveness, quarantine};
@@ -19,73 +19,75 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why an attempt at a host without a sign of life is given up.
+/// Reason for giving up an attempt whose upstream's host gives no sign of life.
 const HOST_SILENT: &str = "host-silent";
 
 /// Sends the call to an upstream, and to a second one if the first is late.
 pub async fn attempt(
     d: &Arc<Daemon>,
-    work: &RoutedCall,
+    call: &RoutedCall,
     target: &Target,
     payload: &mut Payload,
-    so_far: &mut SoFar,
+    history: &mut AttemptHistory,
 ) -> AttemptResult {
     let Some(body) = payload.take() else {
         return AttemptResult::NoAnswer(Attempt::Unknown, "body-spent");
     };
     let began = d.clock.now();
     let patience = match payload.is_left() {
-        true => so_far.patience(target),
-        // What cannot be sent again waits where it is.
-        false => Patience { slot: Duration::MAX, ..so_far.patience(target) },
+        true => history.patience(target),
+        // A call that cannot be sent again waits for a slot at this host.
+        false => Patience { slot: Duration::MAX, ..history.patience(target) },
     };
-    let mut first = Box::pin(send(d, work, target, body, patience));
+    let mut first = Box::pin(send(d, call, target, body, patience));
     // A suspected call is not sent to two upstreams at once.
-    let is_clear = quarantine::standing(d, work.digest) == QuarantineState::Clear;
-    let may_double =
-        is_clear && work.repeatable && payload.is_left() && so_far.arrivals + 1 < work.max_attempts;
-    let why = match race(first.as_mut(), late(d, work, target, may_double)).await {
+    let is_clear = quarantine::standing(d, call.digest) == QuarantineState::Clear;
+    let may_hedge = is_clear
+        && call.repeatable
+        && payload.is_left()
+        && history.arrivals + 1 < call.max_attempts;
+    let why = match race(first.as_mut(), hedge_due(d, call, target, may_hedge)).await {
         Raced::First(got) => return got,
         Raced::Second(why) => why,
     };
     let now = d.clock.now();
-    let (key, passed) = (target.choice.key, now.saturating_duration_since(began));
-    d.services.with(&work.service, |service| {
-        service.picker.record_late(key, work.demand(began), passed, now);
+    let (key, elapsed) = (target.choice.key, now.saturating_duration_since(began));
+    d.services.with(&call.service, |service| {
+        service.picker.record_late(key, call.demand(began), elapsed, now);
     });
-    let spare = match may_double {
-        true => d.services.choose_spare(&work.service, work.demand(now), now, &so_far.tried),
+    let hedge = match may_hedge {
+        true => d.services.choose_spare(&call.service, call.demand(now), now, &history.tried),
         false => None,
     };
-    let (spare, body) = match (spare, payload.take()) {
-        (Some(spare), Some(body)) => (spare, body),
-        _ => return without_spare(d, work, target, first, why).await,
+    let (hedge, body) = match (hedge, payload.take()) {
+        (Some(hedge), Some(body)) => (hedge, body),
+        _ => return wait_without_hedge(d, call, target, first, why).await,
     };
-    so_far.tried.push(spare.choice.key);
-    so_far.arrivals += 1;
+    history.tried.push(hedge.choice.key);
+    history.arrivals += 1;
     d.metrics.incr("call.doubled");
-    log_missed(d, work, target, Attempt::Unknown, why, RetryDecision::Retry, work.started);
-    log_choice(d, work, &spare, so_far.asked());
-    let second = Box::pin(send(d, work, &spare, body, Patience::LAST));
+    log_failed_attempt(d, call, target, Attempt::Unknown, why, RetryDecision::Retry, call.started);
+    log_choice(d, call, &hedge, history.attempts());
+    let second = Box::pin(send(d, call, &hedge, body, Patience::LAST));
     better_of(first, second).await
 }
 
-/// Waits on for a late attempt beside which there can be no other.
+/// Goes on waiting for a late attempt without a hedged one beside it.
 ///
-/// Failure: a host is cut off and no other serves the call. Symptom: the call
-/// holds its caller, often a call further up with a slot of its own, until its
-/// deadline. One that may run again is given up once the host is silent.
+/// Failure: a host is cut off and no other serves the call. Symptom: the call holds its
+/// caller, which is often another call that occupies a slot, until its deadline. So a call
+/// that may run again is given up once the host is silent.
 ///
-/// A daemon that stops gives nothing up: a slow host may look silent and still be
-/// at work, and a planned stop must not cut that.
-async fn without_spare<F: Future<Output = AttemptResult>>(
+/// A daemon that is stopping gives up no call: a slow host may look silent while its
+/// upstream still works on the call, and a planned stop must not cut such calls.
+async fn wait_without_hedge<F: Future<Output = AttemptResult>>(
     d: &Arc<Daemon>,
-    work: &RoutedCall,
+    call: &RoutedCall,
     target: &Target,
-    mut first: Sending<F>,
+    mut first: BoxedAttempt<F>,
     why: &'static str,
 ) -> AttemptResult {
-    if !work.repeatable || d.is_leaving() {
+    if !call.repeatable || d.is_leaving() {
         return first.await;
     }
     if why != HOST_SILENT {
@@ -100,26 +102,27 @@
     AttemptResult::NoAnswer(Attempt::Unknown, HOST_SILENT)
 }
 
-/// Returns why a second attempt is due, once it is.
-async fn late(
+/// Waits until the first attempt is late or its host is silent, and returns which.
+async fn hedge_due(
     d: &Arc<Daemon>,
-    work: &RoutedCall,
+    call: &RoutedCall,
     target: &Target,
-    may_double: bool,
+    may_hedge: bool,
 ) -> &'static str {
-    let demand = work.demand(d.clock.now());
-    let after = d.services.with(&work.service, |service| {
-        // A second large answer would keep a second link as busy as the first.
+    let demand = call.demand(d.clock.now());
+    let after = d.services.with(&call.service, |service| {
+        // A hedged attempt at a large answer would load the link of a second host as well.
         let is_large = service.picker.is_large(demand.kind);
         service.picker.hedge_after(demand).filter(|_| !is_large)
     });
     let slow = async {
-        match after.flatten().filter(|_| may_double) {
+        match after.flatten().filter(|_| may_hedge) {
             Some(time) => smol::Timer::after(time).await,
             None => std::future::pending().await,
         };
-        // An answer that waits for those before it gains nothing from a second try.
-        if let Some(turn) = &work.turn {
+        // A hedged attempt gains nothing while earlier answers on the caller's connection
+        // hold this one back.
+        if let Some(turn) = &call.turn {
             turn.wait().await;
         }
         "late"
@@ -131,7 +134,7 @@
     smol::future::or(slow, silent).await
 }
 
-/// What ended first.
+/// Output of the future that finished first.
 enum Raced<A, B> {
     First(A),
     Second(B),
@@ -145,10 +148,11 @@
         .await
 }
 
-type Sending<F> = Pin<Box<F>>;
+type BoxedAttempt<F> = Pin<Box<F>>;
 
-/// Returns the first good answer of two, or else what says most.
-async fn better_of<F, G>(mut first: Sending<F>, mut second: Sending<G>) -> AttemptResult
+/// Returns the first good answer of two attempts. If there is none, a failure answer comes
+/// before an unknown outcome, and that before a refusal.
+async fn better_of<F, G>(mut first: BoxedAttempt<F>, mut second: BoxedAttempt<G>) -> AttemptResult
 where
     F: Future<Output = AttemptResult>,
     G: Future<Output = AttemptResult>,
@@ -164,7 +168,7 @@
         (AttemptResult::Answer(failure), _) | (_, AttemptResult::Answer(failure)) => {
             AttemptResult::Answer(failure)
         }
-        // What one of them left open stays open.
+        // If either attempt may have run, the outcome is unknown.
         (AttemptResult::NoAnswer(Attempt::Unknown, why), _)
         | (_, AttemptResult::NoAnswer(Attempt::Unknown, why)) => {
             AttemptResult::NoAnswer(Attempt::Unknown, why)
--- a/src/daemon/request/attempts/so_far.rs
+++ b/src/daemon/request/attempts/so_far.rs
@@ -1,4 +1,4 @@
-//! What the attempts at a call left behind, and what follows for the next one.
+//! The outcome of a call's attempts so far, and what follows for the next attempt.
 
 use crate::daemon::request::answer::Answer;
 use crate::daemon::request::send::Patience;
@@ -8,87 +8,94 @@
 use cicadashift_core::request::retry::Attempt;
 use std::time::{Duration, Instant};
 
-/// How long the link of the host asked may be busy with other large answers, for the
-/// first hosts asked for one; afterwards the objective is the bound. About one
-/// document of 90 KB at 5 Mbit/s: asking another host costs some 10 ms.
-const LINK_BUSY_MOST: Duration = Duration::from_millis(160);
-/// Hosts asked in that way.
-const LINKS_ASKED: u32 = 2;
-/// Hosts asked for a free slot before a call waits at one, while what is known of them
-/// says that they have one. Where all are full each question only costs two daemons their
-/// time.
-const ASKED_FREE: u32 = 2;
-/// Time for which a call waits where daemons do not agree yet which version serves: one
-/// hears of a cutover up to half a second before another.
-const STAGE_WAIT: Duration = Duration::from_millis(700);
+/// Longest wait for a host's link that is busy with other large answers, while fewer than
+/// [`MAX_LINK_REFUSALS`] hosts have refused for it; after that the objective is the bound.
+/// About one document of 90 KB at 5 Mbit/s, while asking another host costs some 10 ms.
+const MAX_LINK_WAIT: Duration = Duration::from_millis(160);
+/// Refusals for a busy link after which [`MAX_LINK_WAIT`] no longer applies.
+const MAX_LINK_REFUSALS: u32 = 2;
+/// Refusals for lack of a free slot after which the call waits in a host's queue. Before
+/// that, a host believed to have a free slot must run or refuse the call at once. Where
+/// all hosts are full each such attempt only costs time at two daemons.
+const MAX_FULL_REFUSALS: u32 = 2;
+/// Longest time for which a call is retried while daemons do not agree yet which version
+/// serves: one learns of a cutover up to half a second before another.
+const MAX_STAGE_WAIT: Duration = Duration::from_millis(700);
 
-/// What the attempts so far left behind.
+/// State that a call's attempts share.
 #[derive(Default)]
-pub struct SoFar {
+pub struct AttemptHistory {
+    /// Upstreams that are not to be chosen again.
     pub tried: Vec<UpstreamKey>,
-    /// Hosts whose link was too busy for the answer; one of them may be asked again,
-    /// since what they said counts in the choice.
-    pub links_busy: u32,
-    /// Upstreams that had no free slot. They may be asked again, to wait there.
+    /// Refusals by hosts whose link was too busy for the answer. Such a host may be chosen
+    /// again, since the picker takes into account how busy the link is.
+    pub link_refusals: u32,
+    /// Upstreams that had no free slot. They may be chosen again, then to wait for one.
     pub full: Vec<UpstreamKey>,
-    /// Hosts asked for a free slot.
-    pub asked_free: u32,
+    /// Refusals by hosts that had no free slot; `MAX_FULL_REFUSALS` once the call may wait.
+    pub full_refusals: u32,
     /// Attempts that reached an upstream or may have.
     pub arrivals: u32,
+    /// Reason of the last refusal, and the shortest `Retry-After` of all refusals.
     pub last_refusal: Option<(&'static str, Duration)>,
+    /// Whether an attempt ended with an unknown outcome.
     pub may_have_run: bool,
-    /// A failure that an upstream answered, for the caller if nothing better
-    /// comes.
+    /// A failure answer of an upstream, passed to the caller if no later attempt succeeds.
     pub failure: Option<Answer>,
-    /// When the call was found to be in doubt: it may end upstreams.
-    pub doubted: Option<Instant>,
-    /// When a host first left it to another version.
-    pub held_back: Option<Instant>,
-    /// Held while the call is the one trial of the fleet.
+    /// When it was first found to be in doubt whether the call ends upstreams.
+    pub in_doubt_since: Option<Instant>,
+    /// When a host first refused the call since another version is to serve it.
+    pub held_back_since: Option<Instant>,
+    /// Held while this call is the one trial in the fleet.
     pub trial: Option<Trial>,
 }
 
-impl SoFar {
-    /// Returns how many daemons were asked.
-    pub fn asked(&self) -> u32 {
-        self.tried.len() as u32 + self.links_busy
+impl AttemptHistory {
+    /// Returns the number of attempts that count towards the limit of daemons asked: those
+    /// at upstreams that are not to be chosen again, and those refused for a busy link.
+    pub fn attempts(&self) -> u32 {
+        self.tried.len() as u32 + self.link_refusals
     }
 
     /// Returns how long the call may wait at the next host.
     pub fn patience(&self, target: &Target) -> Patience {
-        let asks_free = target.has_room && self.asked_free < ASKED_FREE;
+        let no_wait = target.has_room && self.full_refusals < MAX_FULL_REFUSALS;
         Patience {
-            link: if self.links_busy < LINKS_ASKED { LINK_BUSY_MOST } else { Duration::MAX },
-            slot: if asks_free { Duration::ZERO } else { Duration::MAX },
+            link: if self.link_refusals < MAX_LINK_REFUSALS {
+                MAX_LINK_WAIT
+            } else {
+                Duration::MAX
+            },
+            slot: if no_wait { Duration::ZERO } else { Duration::MAX },
             is_trial: self.trial.is_some(),
         }
     }
 
-    /// Returns whether a call that was left to another version is sent again.
+    /// Returns whether a call that is left to another version may still be retried.
     pub fn may_wait_for_stage(&mut self, now: Instant) -> bool {
-        now < *self.held_back.get_or_insert(now) + STAGE_WAIT
+        now < *self.held_back_since.get_or_insert(now) + MAX_STAGE_WAIT
     }
 
-    /// Takes in that a host had no free slot.
-    pub fn was_full(&mut self, key: UpstreamKey) {
+    /// Records that a host had no free slot.
+    pub fn record_full(&mut self, key: UpstreamKey) {
         self.full.push(key);
-        self.asked_free += 1;
-        if self.asked_free >= ASKED_FREE {
-            self.back_to_full();
+        self.full_refusals += 1;
+        if self.full_refusals >= MAX_FULL_REFUSALS {
+            self.retry_full();
         }
     }
 
-    /// Lets the call be sent to those that had no free slot, to wait there; returns
-    /// whether there are any.
-    pub fn back_to_full(&mut self) -> bool {
+    /// Allows upstreams that had no free slot to be chosen again, so that the call waits for
+    /// a slot there; returns whether there are any.
+    pub fn retry_full(&mut self) -> bool {
         let full = std::mem::take(&mut self.full);
-        self.asked_free = ASKED_FREE;
+        self.full_refusals = MAX_FULL_REFUSALS;
         self.tried.retain(|tried| !full.contains(tried));
         !full.is_empty()
     }
 
-    /// Takes in how an attempt ended, other than with an answer to pass on.
-    pub fn missed(&mut self, attempt: Attempt, reason: &'static str) {
+    /// Records an attempt that ended without an answer to pass on.
+    pub fn record_failure(&mut self, attempt: Attempt, reason: &'static str) {
         if let Attempt::NotRun { retry_after, .. } = attempt {
             let soonest = self.last_refusal.map_or(retry_after, |(_, wait)| wait.min(retry_after));
             self.last_refusal = Some((reason, soonest));
--- a/src/daemon/request/digest.rs
+++ b/src/daemon/request/digest.rs
@@ -1,14 +1,15 @@
-//! What makes two calls the same.
+//! The digest of a call, by which repeated calls are recognized.
 //!
-//! A caller that sends a call again gives it a new id, and may send it to another
-//! host. Its digest stays: the method, the host and path asked for, the name that the
-//! caller gives itself, its organisation, and the body. Other headers are left out, since some differ with
-//! each try, such as signatures and dates.
+//! A caller that sends a call again gives it a new id, and may send it to another host.
+//! The digest stays the same: it covers the method, the requested host, path and query,
+//! the name that the caller gives itself, its organisation, and the body. Other headers
+//! are left out, since some differ each time, such as signatures and dates.
 //!
 //! # Limits
 //!
-//! Of a body that is too long to be held, its beginning counts, since the rest is not
-//! known before it is sent on. Its length does not: the same body may come in chunks.
+//! Of a body that is too long to be buffered, only the beginning counts, since the rest is
+//! not known before it is sent on. The length does not count: the same body may be sent in
+//! chunks.
 
 use super::headers;
 use super::payload::{MAX_HELD, Payload};
@@ -18,18 +19,19 @@
 use cicadashift_wire::call;
 use cicadashift_wire::seal::MeshKey;
 
-/// What of a call's head goes into its digest, taken before headers are removed.
-pub struct Asked {
+/// The parts of a call's head that go into its digest and must be copied before headers
+/// are removed.
+pub struct DigestInput {
     host: String,
     caller: String,
 }
 
-impl Asked {
-    /// Takes it from a head as the caller sent it.
-    pub fn of(head: &Parts) -> Asked {
+impl DigestInput {
+    /// Copies the parts from a head as the caller sent it.
+    pub fn of(head: &Parts) -> DigestInput {
         let text = |name: &str| headers::text(&head.headers, name).unwrap_or_default().to_string();
         let host = head.uri.authority().map(|host| host.to_string());
-        Asked {
+        DigestInput {
             host: host.unwrap_or_else(|| text(header::HOST.as_str())),
             caller: text(call::CALLER),
         }
@@ -45,7 +47,7 @@
     ) -> CallDigest {
         let path = head.uri.path_and_query().map_or("", |path| path.as_str());
         let body = payload.take_begun();
-        // How much of a long body was read by then differs with each try.
+        // More than this may have been read of a long body, and how much differs each time.
         let body = &body[..body.len().min(MAX_HELD)];
         key.digest(&[
             head.method.as_str().as_bytes(),
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -1,7 +1,7 @@
-//! The entry side of a call: match, check, hold the body.
+//! The entry side of a call: matches the route, checks key and quota, buffers the body.
 
 use super::attempts;
-use super::digest::Asked;
+use super::digest::DigestInput;
 use super::payload::{MAX_HELD, hold};
 use super::sender::{self, Sender};
 use super::story::RefuseLine;
@@ -28,20 +28,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time to come back given by a daemon that has no configuration yet; a start
-/// takes about this long.
-const NO_CONFIGURATION_WAIT: Duration = Duration::from_millis(400);
-/// Time to come back for an organisation that has sent more than it may; its limit is
-/// refilled by the second.
-const OVER_QUOTA_WAIT: Duration = Duration::from_secs(1);
-/// How long ago the store must have confirmed the configuration for a request
-/// without a route to be told so: one watch and a half. A daemon that loses the
-/// store in between is unsure at once, or three seconds later if nothing says so.
-const SURE_FOR: Duration = Duration::from_secs(15);
+/// `Retry-After` of a daemon that has no configuration yet; a start takes about this long.
+const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// `Retry-After` for an organisation that is over its quota; the limit is refilled by the
+/// second.
+const OVER_QUOTA_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// How recently the store must have confirmed that the configuration is the newest before
+/// a caller gets the answer that its route or key does not exist: one and a half times the
+/// length of a watch. A daemon that loses the store in between drops the confirmation at
+/// once, or after three seconds if the loss shows only as silence.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(15);
 
-/// What a call is given up before its caller does, so that the answer to that is
-/// still heard: a way to the caller and back, some 16 ms at most, and our own
-/// processing.
+/// How long before its caller's deadline a call is given up, so that the error response
+/// still reaches the caller: a round trip to the caller, at most about 16 ms, and the
+/// processing in this daemon.
 const CALLER_MARGIN: Duration = Duration::from_millis(25);
 
 /// Answers one caller's request.
@@ -57,10 +57,10 @@
     };
     let mut res = serve(&d, peer, req, started).await;
     d.metrics.time("call.time", d.clock.now().saturating_duration_since(started));
-    // Where a stop has begun the connection ends with this answer, so that the
-    // caller does not send the next request into a socket that is about to close.
-    // Who was refused comes back on a new connection; the old ones would stay
-    // unused, thousands of them under overload.
+    // During a stop the connection is closed after this answer, so that the caller
+    // does not send its next request into a socket that is about to close.
+    // Refused callers come back on a new connection; under overload thousands of the
+    // old connections would stay open unused.
     let refused = res.status() == StatusCode::SERVICE_UNAVAILABLE;
     if d.is_leaving() || (d.hosted.is_some() && refused) {
         headers::set(res.headers_mut(), "connection", "close");
@@ -82,13 +82,13 @@
     let running = d.versions.running();
     let version = running.table.version;
     if version == 0 {
-        let wait = jitter(NO_CONFIGURATION_WAIT, fastrand::u64(..));
-        return refuse_unrouted(d, &request_id, version, "no-configuration", wait);
+        let retry_after = jitter(NO_CONFIGURATION_RETRY_AFTER, fastrand::u64(..));
+        return refuse_unrouted(d, &request_id, version, "no-configuration", retry_after);
     }
     let Some(route) = find_route(&running.table, &head) else {
         return no_route(d, &request_id, version, started);
     };
-    let asked_for = Asked::of(&head);
+    let digest_input = DigestInput::of(&head);
     let sent_by =
         sender::identify(&running.table, &route, &mut head.headers, &d.dialect.organisation);
     let organisation = match sent_by {
@@ -100,24 +100,25 @@
         return headers::plain(StatusCode::PAYLOAD_TOO_LARGE, "body is over the route's limit\n");
     }
     let kind = hash(&(&route.host, &route.prefix));
-    let asked = headers::number(&head.headers, d.dialect.deadline_ms.as_str());
-    let asked = asked.map(Duration::from_millis);
-    let until = asked.map(|asked| started + asked);
-    let first_came = first_came(d, kind, until).unwrap_or(started);
+    let caller_timeout = headers::number(&head.headers, d.dialect.deadline_ms.as_str());
+    let caller_timeout = caller_timeout.map(Duration::from_millis);
+    let caller_deadline = caller_timeout.map(|caller_timeout| started + caller_timeout);
+    let first_arrival = first_arrival(d, kind, caller_deadline).unwrap_or(started);
     if let Some(account) = &organisation
-        && !is_within_quota(d, account, started >= first_came + route.objective(), started)
+        && !is_within_quota(d, account, started >= first_arrival + route.objective(), started)
     {
-        if let Some(until) = until {
-            d.callers.sent_away(KindKey(kind), first_came, until, started);
+        if let Some(caller_deadline) = caller_deadline {
+            d.callers.sent_away(KindKey(kind), first_arrival, caller_deadline, started);
         }
         return over_quota(d, &request_id, version, &account.name);
     }
-    let time = asked.map_or(route.deadline(), |asked| {
-        asked.saturating_sub(CALLER_MARGIN).min(route.deadline())
+    let timeout = caller_timeout.map_or(route.deadline(), |caller_timeout| {
+        caller_timeout.saturating_sub(CALLER_MARGIN).min(route.deadline())
     });
-    let left = headers::number(&head.headers, call::ATTEMPTS);
-    let most = route.max_attempts.unwrap_or(MAX_ATTEMPTS);
-    let max_attempts = left.map_or(most, |left| left.min(u64::from(most)) as u32);
+    let attempts_left = headers::number(&head.headers, call::ATTEMPTS);
+    let route_max = route.max_attempts.unwrap_or(MAX_ATTEMPTS);
+    let max_attempts =
+        attempts_left.map_or(route_max, |left| left.min(u64::from(route_max)) as u32);
     let caller = match &organisation {
         Some(account) => account.limit.0,
         None => caller_key(&head, peer),
@@ -125,7 +126,7 @@
     headers::strip_cicadashift(&mut head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
     let turn = head.extensions.remove::<Turn>();
-    let mut payload = match exec::timeout(time, hold(incoming, MAX_HELD, route.max_body)).await {
+    let mut payload = match exec::timeout(timeout, hold(incoming, MAX_HELD, route.max_body)).await {
         Some(Ok(payload)) => payload,
         Some(Err(BodyError::TooLong)) => {
             return headers::plain(StatusCode::PAYLOAD_TOO_LARGE, "body is over the limit\n");
@@ -133,11 +134,11 @@
         Some(Err(_)) => return headers::plain(StatusCode::BAD_REQUEST, "body is not whole\n"),
         None => return headers::plain(StatusCode::REQUEST_TIMEOUT, "body came too slowly\n"),
     };
-    let sender = organisation.as_ref().map_or("", |account| account.name.as_str());
-    let digest = asked_for.digest(&d.key, &head, sender, &mut payload);
+    let sender_name = organisation.as_ref().map_or("", |account| account.name.as_str());
+    let digest = digest_input.digest(&d.key, &head, sender_name, &mut payload);
     let part = pick_part(&route, fastrand::u64(..)).to_string();
     let canaries = d.rollouts.canaries_for_call(&part, fastrand::u64(..));
-    let (service, without_canaries) = match canaries {
+    let (service, stable_service) = match canaries {
         Some(canaries) => (canaries, Some(part)),
         None => (part, None),
     };
@@ -146,21 +147,21 @@
         Some(account) => route.priority.within(account.priority),
         None => route.priority,
     };
-    let objective = first_came + route.objective();
-    let deadline = d.latest_end(started + time);
-    let work = RoutedCall {
+    let objective = first_arrival + route.objective();
+    let deadline = d.latest_end(started + timeout);
+    let call = RoutedCall {
         request_id,
         digest,
         version,
         route,
         service,
-        without_canaries,
+        stable_service,
         repeatable,
         priority,
-        organisation: sender.to_string(),
+        organisation: sender_name.to_string(),
         caller,
         kind,
-        first_came,
+        first_arrival,
         started,
         deadline,
         objective,
@@ -168,29 +169,30 @@
         head,
         turn,
     };
-    let res = attempts::run(d, work, payload).await;
+    let res = attempts::run(d, call, payload).await;
     if let Some(account) = organisation.filter(|_| headers::is_not_run(res.headers())) {
         d.limits.give_back(account.limit);
     }
-    // Whoever gets no answer may come back.
-    if let Some(until) = until.filter(|_| res.status().is_server_error()) {
-        d.callers.sent_away(KindKey(kind), first_came, until, d.clock.now());
+    // A caller that got no answer may send the call again.
+    if let Some(caller_deadline) = caller_deadline.filter(|_| res.status().is_server_error()) {
+        d.callers.sent_away(KindKey(kind), first_arrival, caller_deadline, d.clock.now());
     }
     res
 }
 
-/// Returns when the caller that waits until a moment first came, if it was sent away.
-fn first_came(d: &Daemon, kind: u64, until: Option<Instant>) -> Option<Instant> {
+/// Returns when a call with this deadline first arrived, if its caller got no answer then
+/// and has now sent it again.
+fn first_arrival(d: &Daemon, kind: u64, until: Option<Instant>) -> Option<Instant> {
     let until = until.filter(|_| d.settings.load.returning)?;
     d.callers.first_came(KindKey(kind), until)
 }
 
-/// Returns whether a request may be begun before the answers to those before it on
-/// its connection have left.
+/// Returns whether a request may be started before the answers to the earlier requests on
+/// its connection have been sent.
 ///
-/// An answer before it may end the connection, and its caller then sends it again:
-/// what may not run twice waits. So does everything once a stop has begun, since the
-/// connection is to end.
+/// An earlier answer may close the connection, and the caller then sends the later
+/// requests again. So a request that may not run twice waits for its turn. Once a stop
+/// has begun every request waits, since the connection is about to be closed.
 pub fn may_overlap(d: &Daemon, target: &Target) -> bool {
     if d.is_leaving() || !d.settings.load.overlap {
         return false;
@@ -203,16 +205,16 @@
     route.is_some_and(|route| route.may_repeat(method))
 }
 
-/// Tells that there is no route, if that is certain.
+/// Responds that no route matches, if the configuration is certainly the newest.
 ///
-/// Failure: a daemon that does not run a new version yet meets a request for a
-/// route that it adds. Symptom: the caller is told that the route does not
-/// exist and never asks again. Where the store has not confirmed the version
-/// lately, or a member runs a newer one, the request is refused as not run instead.
+/// Failure: a daemon that does not run a new version yet gets a request for a route that
+/// this version adds. Symptom: the caller gets a 404 and never tries again. Where the
+/// store has not confirmed the version lately, or a member runs a newer one, the request
+/// is refused as not run instead.
 fn no_route(d: &Daemon, request: &str, version: u64, now: Instant) -> Response<Body> {
-    if !is_sure(d, now) {
-        let wait = jitter(NO_CONFIGURATION_WAIT, fastrand::u64(..));
-        return refuse_unrouted(d, request, version, "no-route-unconfirmed", wait);
+    if !is_config_current(d, now) {
+        let retry_after = jitter(NO_CONFIGURATION_RETRY_AFTER, fastrand::u64(..));
+        return refuse_unrouted(d, request, version, "no-route-unconfirmed", retry_after);
     }
     d.metrics.incr("call.no_route");
     let status = StatusCode::NOT_FOUND;
@@ -220,14 +222,16 @@
     headers::plain(status, "no route for this request\n")
 }
 
-/// Tells that no organisation has the request's key, if that is certain.
+/// Responds that no organisation has the request's key, if the configuration is certainly
+/// the newest.
 ///
-/// Failure: a key is new, or its configuration is not here yet. Symptom: its owner is
-/// told that it is wrong, and gives up.
+/// Failure: the key is new and this daemon does not run its configuration yet. Symptom:
+/// the key's owner gets a 401 and gives up. As with [`no_route`], an unconfirmed
+/// configuration leads to a refusal as not run.
 fn no_key(d: &Daemon, request: &str, version: u64, now: Instant) -> Response<Body> {
-    if !is_sure(d, now) {
-        let wait = jitter(NO_CONFIGURATION_WAIT, fastrand::u64(..));
-        return refuse_unrouted(d, request, version, "no-key-unconfirmed", wait);
+    if !is_config_current(d, now) {
+        let retry_after = jitter(NO_CONFIGURATION_RETRY_AFTER, fastrand::u64(..));
+        return refuse_unrouted(d, request, version, "no-key-unconfirmed", retry_after);
     }
     d.metrics.incr("call.no_key");
     let status = StatusCode::UNAUTHORIZED;
@@ -237,28 +241,29 @@
     res
 }
 
-/// Returns whether an organisation may send a request now, which counts it.
+/// Returns whether an organisation is within its quota, and counts the request if so.
 fn is_within_quota(d: &Daemon, account: &Account, is_late: bool, now: Instant) -> bool {
     account.quota.is_none() || d.limits.admit(account.limit, is_late, now, fastrand::u64(..))
 }
 
-/// Tells that an organisation has sent more than it may.
+/// Responds that an organisation is over its quota.
 fn over_quota(d: &Daemon, request: &str, version: u64, organisation: &str) -> Response<Body> {
     d.metrics.incr("call.over_quota");
-    let wait = jitter(OVER_QUOTA_WAIT, fastrand::u64(..));
+    let retry_after = jitter(OVER_QUOTA_RETRY_AFTER, fastrand::u64(..));
     let status = StatusCode::TOO_MANY_REQUESTS;
     crate::logging::decision(&RefuseLine {
         organisation,
-        ..unrouted(d, request, version, "over-quota", status, wait)
+        ..refuse_line(d, request, version, "over-quota", status, retry_after)
     });
-    let mut res = headers::not_run("over-quota", wait, d.dialect.fractional_retry_after);
+    let mut res = headers::not_run("over-quota", retry_after, d.dialect.fractional_retry_after);
     *res.status_mut() = status;
     res
 }
 
-/// Returns whether the version in force is certainly the newest.
-fn is_sure(d: &Daemon, now: Instant) -> bool {
-    d.hosted.is_none() || d.versions.document.is_current(now, SURE_FOR)
+/// Returns whether the version in force is certainly the newest; with the product's own
+/// platform interface this is taken for granted.
+fn is_config_current(d: &Daemon, now: Instant) -> bool {
+    d.hosted.is_none() || d.versions.document.is_current(now, MAX_CONFIRMATION_AGE)
 }
 
 fn refuse_unrouted(
@@ -266,11 +271,11 @@
     request: &str,
     version: u64,
     why: &str,
-    wait: Duration,
+    retry_after: Duration,
 ) -> Response<Body> {
     d.metrics.incr("call.refused");
-    log_unrouted(d, request, version, why, StatusCode::SERVICE_UNAVAILABLE, wait);
-    headers::not_run(why, wait, d.dialect.fractional_retry_after)
+    log_unrouted(d, request, version, why, StatusCode::SERVICE_UNAVAILABLE, retry_after);
+    headers::not_run(why, retry_after, d.dialect.fractional_retry_after)
 }
 
 fn log_unrouted(
@@ -279,18 +284,18 @@
     version: u64,
     why: &str,
     status: StatusCode,
-    wait: Duration,
+    retry_after: Duration,
 ) {
-    crate::logging::decision(&unrouted(d, request, version, why, status, wait));
+    crate::logging::decision(&refuse_line(d, request, version, why, status, retry_after));
 }
 
-fn unrouted<'a>(
+fn refuse_line<'a>(
     d: &Daemon,
     request: &'a str,
     version: u64,
     why: &'a str,
     status: StatusCode,
-    wait: Duration,
+    retry_after: Duration,
 ) -> RefuseLine<'a> {
     RefuseLine {
         kind: "refuse",
@@ -301,7 +306,7 @@
         why,
         status: status.as_u16(),
         took_ms: 0,
-        retry_after_ms: wait.as_millis() as u64,
+        retry_after_ms: retry_after.as_millis() as u64,
         config_age_ms: d.versions.document.confirmed_age_ms(d.clock.now()),
     }
 }
@@ -318,7 +323,8 @@
         .map_or_else(|| format!("{:016x}", fastrand::u64(..)), str::to_string)
 }
 
-/// Names the caller for fairness: as it names itself, or by its address.
+/// Returns the key of the caller for fair queueing: a hash of the name in its header, or
+/// else of its IP address.
 fn caller_key(head: &Parts, peer: SocketAddr) -> u64 {
     match headers::text(&head.headers, call::CALLER) {
         Some(name) => hash(&name),
--- a/src/daemon/request/headers.rs
+++ b/src/daemon/request/headers.rs
@@ -1,4 +1,4 @@
-//! Headers between hops.
+//! Reads, sets and removes headers, and makes the daemon's own responses.
 
 use cicadashift_http::body::{self, Body};
 use cicadashift_http::hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -17,8 +17,8 @@
     header::UPGRADE,
 ];
 
-/// Removes what concerns one connection only: the fixed list, what `Connection`
-/// names, and `Expect`, which hyper has answered already.
+/// Removes headers that concern one connection only: the fixed list, the headers that
+/// `Connection` names, and `Expect`, which hyper has answered already.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -35,11 +35,11 @@
     headers.remove(header::EXPECT);
 }
 
-/// Removes every header of ours.
+/// Removes every header whose name begins with [`call::PREFIX`].
 pub fn strip_cicadashift(headers: &mut HeaderMap) {
-    let ours: Vec<HeaderName> =
+    let prefixed: Vec<HeaderName> =
         headers.keys().filter(|name| name.as_str().starts_with(call::PREFIX)).cloned().collect();
-    for name in ours {
+    for name in prefixed {
         headers.remove(&name);
     }
 }
@@ -54,23 +54,23 @@
     text(headers, name).and_then(|value| value.parse().ok())
 }
 
-/// Sets a header; text that cannot be a header value is left out.
+/// Sets a header; does nothing if the text cannot be a header value.
 pub fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// Sets a header whose name is not known before the settings are.
+/// Sets a header whose name depends on the settings; like [`set`] otherwise.
 pub fn insert(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// Makes the answer that a call did not run, and when to come back.
+/// Makes the response that says that a call did not run, and when to try again.
 ///
-/// `fractional` tells whether callers take a `Retry-After` with a fraction.
+/// `fractional` says whether callers accept a `Retry-After` with a fraction.
 pub fn not_run(reason: &str, retry_after: Duration, fractional: bool) -> Response<Body> {
     let mut res = plain(StatusCode::SERVICE_UNAVAILABLE, &format!("not run: {reason}\n"));
     let headers = res.headers_mut();
@@ -85,12 +85,12 @@
     res
 }
 
-/// Returns whether an answer says that the call did not run.
+/// Returns whether a response says that the call did not run.
 pub fn is_not_run(headers: &HeaderMap) -> bool {
     text(headers, call::OUTCOME) == Some(call::NOT_RUN)
 }
 
-/// Makes the answer that a call may have run.
+/// Makes the response that says that a call may have run.
 pub fn unknown(status: StatusCode, reason: &str) -> Response<Body> {
     let mut res = plain(status, &format!("outcome unknown: {reason}\n"));
     set(res.headers_mut(), call::OUTCOME, call::UNKNOWN);
@@ -98,7 +98,7 @@
     res
 }
 
-/// Makes an answer of one line.
+/// Makes a plain-text response of one line.
 pub fn plain(status: StatusCode, line: &str) -> Response<Body> {
     let mut res = Response::new(body::full(line.to_string()));
     *res.status_mut() = status;
--- a/src/daemon/request/mod.rs
+++ b/src/daemon/request/mod.rs
@@ -1,14 +1,17 @@
-//! The request's way through the daemon, as a row of filters.
+//! The stages that a request passes in the daemons.
 //!
-//! [`entry`] takes a caller's request, finds its route, asks [`sender`] whose it is and
-//! holds its body.
-//! [`attempts`] chooses an upstream and, through [`send`], sends the request to
-//! the daemon on that upstream's host, as often as the route and the budget allow. There, [`exit`]
-//! admits it and sends it to the upstream. The answer comes back through
-//! [`answer`]. Large answers leave by the host's link in turn, see
-//! [`paced`]. [`headers`], [`payload`], [`digest`] and [`tracked`] are the parts that all of
-//! them use, [`work`] is a call on its way, [`refuse`] what callers are told in place of an
-//! answer, [`story`] the lines that the log gets.
+//! On the caller's host, [`entry`] reads the request, finds its route, identifies the
+//! organisation that sent it with [`sender`] and buffers the body. [`attempts`] chooses an
+//! upstream and sends the request with [`send`] to the daemon on that upstream's host, and
+//! tries again as the route and the retry budget allow. [`trial`] decides whether a call
+//! that may be quarantined wrongly is sent.
+//!
+//! On the upstream's host, [`exit`] admits the request and sends it to the upstream.
+//!
+//! The answer returns through [`answer`]; [`paced`] schedules large answers on the host's
+//! link. [`headers`], [`payload`], [`digest`] and [`tracked`] are shared by these stages.
+//! [`work`] holds the state of a routed call, [`refuse`] makes the responses that replace
+//! an answer, and [`story`] writes the log lines about requests.
 
 pub mod answer;
 pub mod attempts;
--- a/src/daemon/request/story.rs
+++ b/src/daemon/request/story.rs
@@ -1,7 +1,7 @@
-//! The lines that the log gets about requests.
+//! Log lines about requests.
 //!
-//! Each decision about a request is one line with its id, so that the lines of
-//! one request, gathered from the daemons it passed, tell its story.
+//! Each decision about a request is one line with the request's id, so that the lines of
+//! all daemons that handled a request can be joined to show what happened to it.
 //! `docs/LOGS.md` lists the fields.
 
 use super::work::RoutedCall;
@@ -12,109 +12,111 @@
 use serde::Serialize;
 use std::time::Instant;
 
-/// An entry daemon's choice of an upstream.
+/// Line of an entry daemon that chose an upstream.
 #[derive(Serialize)]
 pub struct ChooseLine<'a> {
-    /// Names the kind of line.
+    /// Kind of the line.
     pub kind: &'static str,
     /// The request's id.
     pub request: &'a str,
-    /// Names what it asks for, the same for each try of its caller.
+    /// Digest of the call, the same each time its caller sends it.
     pub digest: String,
     /// Version of the configuration that routed it.
     pub version: u64,
     /// The service chosen from.
     pub service: &'a str,
-    /// The instance.
+    /// The upstream instance.
     pub upstream: &'a str,
-    /// Why this one.
+    /// Why this upstream was chosen.
     pub why: &'a str,
-    /// Which attempt this is, from one.
+    /// Number of the attempt, counted from one.
     pub attempt: u32,
-    /// Upstreams of the service that take work, as known here.
+    /// Upstreams of the service that this daemon knows to take calls.
     pub known: usize,
-    /// Milliseconds left of the request's time.
+    /// Milliseconds left until the request's deadline.
     pub left_ms: u64,
-    /// Milliseconds left of its objective.
+    /// Milliseconds left until its objective.
     pub objective_ms: u64,
-    /// Milliseconds since its caller first came, with earlier attempts that were refused.
+    /// Milliseconds since it first arrived, including earlier tries of its caller that
+    /// were refused.
     pub age_ms: u64,
-    /// Its rank: its organisation's and its route's.
+    /// Its priority, from its organisation's and its route's.
     pub rank: u8,
 }
 
-/// How one attempt ended without an answer for the caller.
+/// Line of an entry daemon about an attempt that ended without an answer for the caller.
 #[derive(Serialize)]
 pub struct MissedLine<'a> {
-    /// Names the kind of line.
+    /// Kind of the line.
     pub kind: &'static str,
     /// The request's id.
     pub request: &'a str,
-    /// The instance.
+    /// The upstream instance.
     pub upstream: &'a str,
-    /// What went wrong.
+    /// Why the attempt failed.
     pub why: &'a str,
     /// `not-run` or `unknown`.
     pub outcome: &'a str,
     /// Milliseconds since the attempt began.
     pub took_ms: u64,
-    /// What follows.
+    /// What the daemon does next: `again`, `refuse` or `give-up`.
     pub next: &'a str,
 }
 
-/// What a caller was told in place of an answer.
+/// Line of an entry daemon that sent the caller a response of its own in place of an
+/// upstream's answer.
 #[derive(Serialize)]
 pub struct RefuseLine<'a> {
-    /// Names the kind of line.
+    /// Kind of the line.
     pub kind: &'static str,
     /// The request's id.
     pub request: &'a str,
-    /// The organisation that sent it; left out where none did.
+    /// The organisation that sent it; omitted if none did.
     #[serde(skip_serializing_if = "str::is_empty")]
     pub organisation: &'a str,
-    /// Version of the configuration, zero where there is none.
+    /// Version of the configuration; zero if there is none.
     pub version: u64,
-    /// The service, empty where no route was found.
+    /// The service; empty if the call was refused before one was chosen.
     pub service: &'a str,
     /// The reason, also given to the caller.
     pub why: &'a str,
-    /// Status of the answer.
+    /// Status code of the response.
     pub status: u16,
     /// Milliseconds since the request was read.
     pub took_ms: u64,
-    /// Milliseconds after which the caller is asked to come back.
+    /// Milliseconds after which the caller is asked to try again.
     pub retry_after_ms: u64,
     /// Milliseconds since the store last confirmed the configuration.
     pub config_age_ms: Option<u64>,
 }
 
-/// An exit daemon's decision.
+/// Line of an exit daemon about admission or the end of a call.
 #[derive(Serialize)]
 pub struct AdmitLine<'a> {
-    /// Names the kind of line.
+    /// Kind of the line.
     pub kind: &'static str,
     /// The request's id.
     pub request: &'a str,
-    /// Names what it asks for, the same for each try of its caller.
+    /// Digest of the call, the same each time its caller sends it.
     pub digest: String,
     /// Version of the configuration that routed it.
     pub version: u64,
-    /// The instance.
+    /// The upstream instance.
     pub upstream: &'a str,
-    /// What was decided or happened.
+    /// The decision, or how the call ended.
     pub result: &'a str,
-    /// Milliseconds since it arrived here.
+    /// Milliseconds since it arrived at this daemon.
     pub waited_ms: f64,
-    /// Requests at the upstream.
+    /// Requests in flight at the upstream.
     pub running: usize,
-    /// Requests waiting for it here.
+    /// Requests queued for the upstream at this daemon.
     pub queued: usize,
-    /// Mean time of a request at the upstream, in milliseconds.
+    /// Mean service time of the upstream, in milliseconds.
     pub mean_ms: f64,
 }
 
 /// Logs the choice of an upstream.
-pub fn log_choice(d: &Daemon, work: &RoutedCall, target: &Target, attempt: u32) {
+pub fn log_choice(d: &Daemon, call: &RoutedCall, target: &Target, attempt: u32) {
     let why = match target.choice.reason {
         Reason::Near => "near",
         Reason::Spill => "spill",
@@ -123,33 +125,33 @@
         Reason::NextToken => "next-token",
     };
     let now = d.clock.now();
-    let left = work.deadline.saturating_duration_since(now);
+    let left = call.deadline.saturating_duration_since(now);
     let line = ChooseLine {
         kind: "choose",
-        request: &work.request_id,
-        digest: work.digest.to_string(),
-        version: work.version,
-        service: &work.service,
+        request: &call.request_id,
+        digest: call.digest.to_string(),
+        version: call.version,
+        service: &call.service,
         upstream: &target.instance,
         why,
         attempt,
         known: target.known,
         left_ms: left.as_millis() as u64,
-        objective_ms: work.objective.saturating_duration_since(now).as_millis() as u64,
-        age_ms: now.saturating_duration_since(work.first_came).as_millis() as u64,
-        rank: work.priority.0,
+        objective_ms: call.objective.saturating_duration_since(now).as_millis() as u64,
+        age_ms: now.saturating_duration_since(call.first_arrival).as_millis() as u64,
+        rank: call.priority.0,
     };
     crate::logging::ordinary(attempt == 1, &line);
 }
 
-/// Logs how an attempt ended that brought no answer to pass on.
-pub fn log_missed(
+/// Logs how an attempt ended that brought no answer to pass on, and what follows.
+pub fn log_failed_attempt(
     d: &Daemon,
-    work: &RoutedCall,
+    call: &RoutedCall,
     target: &Target,
     attempt: Attempt,
     why: &str,
-    verdict: RetryDecision,
+    decision: RetryDecision,
     began: Instant,
 ) {
     let outcome = match attempt {
@@ -157,14 +159,14 @@
         Attempt::NotRun { .. } => "not-run",
         Attempt::Unknown => "unknown",
     };
-    let next = match verdict {
+    let next = match decision {
         RetryDecision::Retry => "again",
         RetryDecision::Refuse { .. } => "refuse",
         RetryDecision::Answer | RetryDecision::Unknown => "give-up",
     };
     crate::logging::decision(&MissedLine {
         kind: "missed",
-        request: &work.request_id,
+        request: &call.request_id,
         upstream: &target.instance,
         why,
         outcome,
--- a/src/daemon/request/work.rs
+++ b/src/daemon/request/work.rs
@@ -1,4 +1,4 @@
-//! A matched call on its way.
+//! Calls whose route is known.
 
 use cicadashift_core::config::{Priority, Route};
 use cicadashift_core::ids::CallDigest;
@@ -9,47 +9,51 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A matched call on its way.
+/// A call whose route is known, and what its attempts need.
 pub struct RoutedCall {
-    /// Names the call.
+    /// Id of the request, which the log lines about it carry.
     pub request_id: String,
-    /// Names what it asks for, whatever its id.
+    /// Digest of the call, the same each time its caller sends it.
     pub digest: CallDigest,
     /// Version of the configuration that routed it.
     pub version: u64,
     /// Its route.
     pub route: Arc<Route>,
-    /// The service that serves it: the route's, or that of the weighted part.
+    /// The service it is sent to: the route's, that of the weighted part, or the canaries
+    /// of either.
     pub service: String,
-    /// The service, where it goes to canaries of a new version first.
-    pub without_canaries: Option<String>,
+    /// The service to fall back to, if `service` names canaries of a new version.
+    pub stable_service: Option<String>,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Its rank under shortage.
+    /// Its priority when capacity is short.
     pub priority: Priority,
-    /// Organisation that sent it; empty where none did.
+    /// Organisation that sent it; empty if none did.
     pub organisation: String,
-    /// Names the caller for fairness.
+    /// Key of the caller for fair queueing.
     pub caller: u64,
-    /// Names the kind of call: its route.
+    /// Key of the kind of call: a hash of its route's host and prefix.
     pub kind: u64,
-    /// When its caller first came, before it was sent away and came back.
-    pub first_came: Instant,
-    /// When its head had been read.
+    /// When it first arrived; earlier than `started` if its caller got no answer then and
+    /// has sent it again.
+    pub first_arrival: Instant,
+    /// When its head was read.
     pub started: Instant,
-    /// When it is given up.
+    /// When the daemon gives it up.
     pub deadline: Instant,
-    /// Until when an answer is worth most.
+    /// The latency objective as a moment: an answer after it is worth less.
     pub objective: Instant,
-    /// Upstreams that it may be sent to.
+    /// Most times it may be sent to an upstream.
     pub max_attempts: u32,
     /// Its head.
     pub head: Parts,
-    /// When its answer can leave, where others of its connection go before.
+    /// Tells when its answer may be sent, if earlier requests of its connection are still
+    /// unanswered.
     pub turn: Option<Turn>,
 }
 
 impl RoutedCall {
+    /// Returns what the choice of an upstream needs of the call.
     pub fn demand(&self, now: Instant) -> Demand {
         Demand {
             kind: KindKey(self.kind),
@@ -59,10 +63,10 @@
     }
 }
 
-/// Returns the service that serves a call, by the weights of the route's parts.
+/// Picks the service for a call at random by the weights of the route's parts.
 ///
-/// A call stays in its part: what does not fit there is refused, not moved, so
-/// that the shares of those that run are the shares that the operator set.
+/// A call stays in its part: one for which the part has no capacity is refused and not
+/// moved to another part, so that the calls that run keep the shares that the operator set.
 pub fn pick_part(route: &Route, random: u64) -> &str {
     let total: u64 = route.parts.iter().map(|part| u64::from(part.weight)).sum();
     if total == 0 {
