--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The thin whole path, with real processes.
+//! Calls from caller to upstream through daemons that run as processes.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_call_goes_through_three_daemons_and_a_change_is_seen_by_all() {
+fn every_daemon_serves_calls_and_follows_a_new_configuration() {
     run(async {
         let mesh = Mesh::serving(spec(&["a", "b", "c"], 1)).await;
         for i in mesh.all() {
@@ -61,10 +61,9 @@
 
 #[test]
 fn a_planned_stop_cuts_no_call() {
-    // Callers are in the middle of slow calls when the daemon that they are
-    // connected to, or the one beside the upstream, gets SIGTERM. They see whole
-    // answers: the daemon announces that it leaves, lets what runs finish, and
-    // only then goes.
+    // Slow calls are in flight when the daemon that their callers are connected to, or
+    // the one on the upstream's host, gets SIGTERM. Their callers still get whole answers:
+    // the daemon announces that it leaves, finishes the calls in flight, and then exits.
     run(async {
         let mut mesh = Mesh::serving(spec(&["a"], 3)).await;
         mesh.upstreams.iter().for_each(|u| u.change(|b| b.work = Duration::from_millis(400)));
@@ -91,7 +90,7 @@
 }
 
 #[test]
-fn wrong_settings_start_nothing() {
+fn invalid_settings_are_rejected() {
     let good = serde_json::json!({
         "host": "h", "failure_domain": "d", "callers": "127.0.0.1:1", "upstreams": "127.0.0.1:2",
         "mesh": "127.0.0.1:3", "platform": [], "witnesses": ["h"],
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on the wire, towards callers: framing, limits and hostile shapes.
+//! HTTP/1.1 towards callers and the mesh: framing, limits, malformed and hostile requests.
 
 mod common;
 
@@ -8,12 +8,12 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Sends raw bytes and returns what comes back until the connection ends.
+/// Sends raw bytes and returns all that is received until the connection ends.
 async fn raw(to: SocketAddr, sent: &'static [u8]) -> String {
     smol::unblock(move || {
         let mut stream = TcpStream::connect(to).expect("the port is open");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time is set");
-        stream.write_all(sent).expect("it is taken in");
+        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("the read timeout is set");
+        stream.write_all(sent).expect("the request is written");
         let mut got = Vec::new();
         let _reset_is_an_end = stream.read_to_end(&mut got);
         String::from_utf8_lossy(&got).into_owned()
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn framing_and_hostile_shapes() {
+fn framing_and_malformed_requests() {
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
         let to = mesh.fleet.nodes[0].callers;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn headers_of_one_hop_go_no_further() {
+fn answers_carry_no_cicadashift_headers() {
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
         let got = raw(
@@ -66,10 +66,10 @@
             b"GET /notices HTTP/1.1\r\nhost: m\r\nconnection: close, x-secret\r\nx-secret: 1\r\ncicadashift-token: x\r\n\r\n",
         )
         .await;
-        let ours: Vec<&str> =
+        let internal: Vec<&str> =
             got.split("\r\n").filter(|line| line.contains("cicadashift-")).collect();
         assert!(got.starts_with("HTTP/1.1 200"), "{got}");
-        assert_eq!(ours, Vec::<&str>::new());
+        assert_eq!(internal, Vec::<&str>::new());
     });
 }
 
@@ -91,15 +91,15 @@
         .await;
         assert!(got.is_empty() || got.starts_with("HTTP/1.1 431"), "{got}");
         let after = common::caller(&mesh, 0).call("GET", "/notices", "after", b"").await;
-        assert!(common::is_answer(&after.got), "the daemon lives: {after:?}");
+        assert!(common::is_answer(&after.got), "the daemon no longer answers: {after:?}");
     });
 }
 
 #[test]
 fn a_slow_caller_is_timed_out() {
-    // A caller sends half a head and then nothing. Its connection is closed
-    // after the time in the settings, so that slow callers cannot hold all
-    // connections; others are served meanwhile.
+    // A caller sends half a head and then nothing. Its connection is closed after
+    // `head_ms` of the settings, so that slow callers cannot occupy all connections.
+    // Other callers are served in the meantime.
     run(async {
         let mut spec = spec(&["a"], 1);
         spec.head_ms = 700;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn strangers_on_the_mesh_port_are_refused() {
+fn unauthenticated_mesh_requests_are_refused() {
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
         let to = mesh.fleet.nodes[0].mesh;
@@ -147,15 +147,15 @@
             let got = raw(to, sent).await;
             assert_eq!(status_of(&got), "HTTP/1.1 403 Forbidden");
         }
-        let udp = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
-        udp.send_to(&[0xff; 600], to).expect("it is sent");
+        let udp = std::net::UdpSocket::bind("127.0.0.1:0").expect("a UDP socket");
+        udp.send_to(&[0xff; 600], to).expect("the datagram is sent");
         let after = common::caller(&mesh, 0).call("GET", "/notices", "after", b"").await;
-        assert!(common::is_answer(&after.got), "the daemon lives: {after:?}");
+        assert!(common::is_answer(&after.got), "the daemon no longer answers: {after:?}");
     });
 }
 
 #[test]
-fn a_caller_that_leaves_cancels_its_call() {
+fn a_caller_that_disconnects_cancels_its_call() {
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
         mesh.upstreams[0].change(|b| b.work = Duration::from_secs(20));
@@ -166,7 +166,7 @@
                 .write_all(
                     b"GET /notices HTTP/1.1\r\nhost: m\r\ncicadashift-request-id: left\r\n\r\n",
                 )
-                .expect("it is taken in");
+                .expect("the request is written");
             stream
         })
         .await;
@@ -176,7 +176,7 @@
         drop(stream);
         let until = std::time::Instant::now() + cicadashift_testkit::mesh::PATIENCE;
         while mesh.upstreams[0].cancelled() == 0 {
-            assert!(std::time::Instant::now() < until, "the upstream is told");
+            assert!(std::time::Instant::now() < until, "the upstream sees no cancellation");
             smol::Timer::after(Duration::from_millis(5)).await;
         }
     });
