--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/second.rs
@@ -1,15 +1,15 @@
-//! One attempt, and a second one beside it where the first is late.
+//! One attempt, with a hedged second attempt beside it if the first is late.
 //!
-//! If an answer is so late for its kind that it may be lost, or the host it is to come from
-//! gives no sign of life, a call that may be repeated is sent to a second upstream, and the
-//! first whole answer is passed on.
+//! If an answer is so late for its kind of call that it may be lost, or the upstream's host
+//! gives no sign of life, a call that may be repeated is also sent to a second upstream.
+//! The first good answer of the two is passed on.
 
-use super::so_far::SoFar;
-use crate::daemon::request::answer::Got;
+use super::so_far::AttemptHistory;
+use crate::daemon::request::answer::AttemptResult;
 use crate::daemon::request::payload::Payload;
 use crate::daemon::request::send::{SendOptions, send};
-use crate::daemon::request::story::{log_choice, log_missed};
-use crate::daemon::request::work::Work;
+use crate::daemon::request::story::{log_choice, log_failed_attempt};
+use crate::daemon::request::work::RoutedCall;
 use crate::daemon::services::Target;
 use crate::daemon::{Daemon, liveness, quarantine};
 use cicadashift_core::request::retry::{Attempt, RetryDecision};
@@ -19,73 +19,75 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why an attempt at a host without a sign of life is given up.
+/// Reason for giving up an attempt whose upstream's host gives no sign of life.
 const HOST_SILENT: &str = "host-silent";
 
 /// Sends the call to an upstream, and to a second one if the first is late.
 pub async fn attempt(
     d: &Arc<Daemon>,
-    work: &Work,
+    call: &RoutedCall,
     target: &Target,
     payload: &mut Payload,
-    so_far: &mut SoFar,
-) -> Got {
+    history: &mut AttemptHistory,
+) -> AttemptResult {
     let Some(body) = payload.take() else {
-        return Got::None(Attempt::Unknown, "body-spent");
+        return AttemptResult::NoAnswer(Attempt::Unknown, "body-spent");
     };
     let began = d.clock.now();
     let patience = match payload.is_available() {
-        true => so_far.patience(target),
-        // What cannot be sent again waits where it is.
-        false => SendOptions { max_slot_wait: Duration::MAX, ..so_far.patience(target) },
+        true => history.patience(target),
+        // A call that cannot be sent again waits for a slot at this host.
+        false => SendOptions { max_slot_wait: Duration::MAX, ..history.patience(target) },
     };
-    let mut first = Box::pin(send(d, work, target, body, patience));
+    let mut first = Box::pin(send(d, call, target, body, patience));
     // A suspected call is not sent to two upstreams at once.
-    let is_clear = quarantine::state(d, work.digest) == QuarantineState::Clear;
-    let may_double =
-        is_clear && work.repeatable && payload.is_available() && so_far.arrivals + 1 < work.allowed;
-    let why = match race(first.as_mut(), late(d, work, target, may_double)).await {
+    let is_clear = quarantine::state(d, call.digest) == QuarantineState::Clear;
+    let may_hedge = is_clear
+        && call.repeatable
+        && payload.is_available()
+        && history.arrivals + 1 < call.max_attempts;
+    let why = match race(first.as_mut(), hedge_due(d, call, target, may_hedge)).await {
         Raced::First(got) => return got,
         Raced::Second(why) => why,
     };
     let now = d.clock.now();
-    let (key, passed) = (target.choice.key, now.saturating_duration_since(began));
-    d.services.with(&work.service, |service| {
-        service.picker.record_late(key, work.demand(began), passed, now);
+    let (key, elapsed) = (target.choice.key, now.saturating_duration_since(began));
+    d.services.with(&call.service, |service| {
+        service.picker.record_late(key, call.demand(began), elapsed, now);
     });
-    let spare = match may_double {
-        true => d.services.choose_hedge(&work.service, work.demand(now), now, &so_far.tried),
+    let hedge = match may_hedge {
+        true => d.services.choose_hedge(&call.service, call.demand(now), now, &history.tried),
         false => None,
     };
-    let (spare, body) = match (spare, payload.take()) {
-        (Some(spare), Some(body)) => (spare, body),
-        _ => return without_spare(d, work, target, first, why).await,
+    let (hedge, body) = match (hedge, payload.take()) {
+        (Some(hedge), Some(body)) => (hedge, body),
+        _ => return wait_without_hedge(d, call, target, first, why).await,
     };
-    so_far.tried.push(spare.choice.key);
-    so_far.arrivals += 1;
+    history.tried.push(hedge.choice.key);
+    history.arrivals += 1;
     d.metrics.incr("call.doubled");
-    log_missed(d, work, target, Attempt::Unknown, why, RetryDecision::Retry, work.started);
-    log_choice(d, work, &spare, so_far.asked());
-    let second = Box::pin(send(d, work, &spare, body, SendOptions::UNLIMITED));
+    log_failed_attempt(d, call, target, Attempt::Unknown, why, RetryDecision::Retry, call.started);
+    log_choice(d, call, &hedge, history.attempts());
+    let second = Box::pin(send(d, call, &hedge, body, SendOptions::UNLIMITED));
     better_of(first, second).await
 }
 
-/// Waits on for a late attempt beside which there can be no other.
+/// Goes on waiting for a late attempt without a hedged one beside it.
 ///
-/// Failure: a host is cut off and no other serves the call. Symptom: the call
-/// holds its caller, often a call further up with a slot of its own, until its
-/// deadline. One that may run again is given up once the host is silent.
+/// Failure: a host is cut off and no other serves the call. Symptom: the call holds its
+/// caller, which is often another call that occupies a slot, until its deadline. So a call
+/// that may run again is given up once the host is silent.
 ///
-/// A daemon that stops gives nothing up: a slow host may look silent and still be
-/// at work, and a planned stop must not cut that.
-async fn without_spare<F: Future<Output = Got>>(
+/// A daemon that is stopping gives up no call: a slow host may look silent while its
+/// upstream still works on the call, and a planned stop must not cut such calls.
+async fn wait_without_hedge<F: Future<Output = AttemptResult>>(
     d: &Arc<Daemon>,
-    work: &Work,
+    call: &RoutedCall,
     target: &Target,
-    mut first: Sending<F>,
+    mut first: BoxedAttempt<F>,
     why: &'static str,
-) -> Got {
-    if !work.repeatable || d.is_leaving() {
+) -> AttemptResult {
+    if !call.repeatable || d.is_leaving() {
         return first.await;
     }
     if why != HOST_SILENT {
@@ -97,24 +99,30 @@
     if d.is_leaving() {
         return first.await;
     }
-    Got::None(Attempt::Unknown, HOST_SILENT)
+    AttemptResult::NoAnswer(Attempt::Unknown, HOST_SILENT)
 }
 
-/// Returns why a second attempt is due, once it is.
-async fn late(d: &Arc<Daemon>, work: &Work, target: &Target, may_double: bool) -> &'static str {
-    let demand = work.demand(d.clock.now());
-    let after = d.services.with(&work.service, |service| {
-        // A second large answer would keep a second link as busy as the first.
+/// Waits until the first attempt is late or its host is silent, and returns which.
+async fn hedge_due(
+    d: &Arc<Daemon>,
+    call: &RoutedCall,
+    target: &Target,
+    may_hedge: bool,
+) -> &'static str {
+    let demand = call.demand(d.clock.now());
+    let after = d.services.with(&call.service, |service| {
+        // A hedged attempt at a large answer would load the link of a second host as well.
         let is_large = service.picker.is_large(demand.kind);
         service.picker.hedge_after(demand).filter(|_| !is_large)
     });
     let slow = async {
-        match after.flatten().filter(|_| may_double) {
+        match after.flatten().filter(|_| may_hedge) {
             Some(time) => smol::Timer::after(time).await,
             None => std::future::pending().await,
         };
-        // An answer that waits for those before it gains nothing from a second try.
-        if let Some(turn) = &work.turn {
+        // A hedged attempt gains nothing while earlier answers on the caller's connection
+        // hold this one back.
+        if let Some(turn) = &call.turn {
             turn.wait().await;
         }
         "late"
@@ -126,7 +134,7 @@
     smol::future::or(slow, silent).await
 }
 
-/// What ended first.
+/// Output of the future that finished first.
 enum Raced<A, B> {
     First(A),
     Second(B),
@@ -140,13 +148,14 @@
         .await
 }
 
-type Sending<F> = Pin<Box<F>>;
+type BoxedAttempt<F> = Pin<Box<F>>;
 
-/// Returns the first good answer of two, or else what says most.
-async fn better_of<F, G>(mut first: Sending<F>, mut second: Sending<G>) -> Got
+/// Returns the first good answer of two attempts. If there is none, a failure answer comes
+/// before an unknown outcome, and that before a refusal.
+async fn better_of<F, G>(mut first: BoxedAttempt<F>, mut second: BoxedAttempt<G>) -> AttemptResult
 where
-    F: Future<Output = Got>,
-    G: Future<Output = Got>,
+    F: Future<Output = AttemptResult>,
+    G: Future<Output = AttemptResult>,
 {
     let (got, other) = match race(first.as_mut(), second.as_mut()).await {
         Raced::First(got) if is_good(&got) => return got,
@@ -156,15 +165,18 @@
     };
     match (got, other) {
         (_, other) if is_good(&other) => other,
-        (Got::Answer(failure), _) | (_, Got::Answer(failure)) => Got::Answer(failure),
-        // What one of them left open stays open.
-        (Got::None(Attempt::Unknown, why), _) | (_, Got::None(Attempt::Unknown, why)) => {
-            Got::None(Attempt::Unknown, why)
+        (AttemptResult::Answer(failure), _) | (_, AttemptResult::Answer(failure)) => {
+            AttemptResult::Answer(failure)
+        }
+        // If either attempt may have run, the outcome is unknown.
+        (AttemptResult::NoAnswer(Attempt::Unknown, why), _)
+        | (_, AttemptResult::NoAnswer(Attempt::Unknown, why)) => {
+            AttemptResult::NoAnswer(Attempt::Unknown, why)
         }
         (got, _) => got,
     }
 }
 
-fn is_good(got: &Got) -> bool {
-    matches!(got, Got::Answer(answer) if !answer.is_failure())
+fn is_good(got: &AttemptResult) -> bool {
+    matches!(got, AttemptResult::Answer(answer) if !answer.is_failure())
 }
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -4,7 +4,7 @@
 use super::headers;
 use super::paced::ExpectedAnswer;
 use super::payload::{Payload, buffer};
-use super::story::Admit;
+use super::story::AdmitLine;
 use super::tracked::{InFlightGuard, TrackedBody};
 use crate::daemon::gates::ended;
 use crate::daemon::gates::local::{LocalUpstream, SlotPermit};
@@ -200,7 +200,7 @@
     left: Duration,
 ) {
     let dialect = &d.dialect;
-    headers::strip_ours(head);
+    headers::strip_cicadashift(head);
     headers::insert(head, &dialect.request_id, &cx.request_id);
     headers::insert(head, &dialect.deadline_ms, &left.as_millis().to_string());
     if let Some(name) = &dialect.caller_service {
@@ -246,7 +246,7 @@
         keep_connection(incoming, connection, local);
         return res;
     }
-    headers::strip_ours(&mut head.headers);
+    headers::strip_cicadashift(&mut head.headers);
     let reuse_time = connection_reuse_time(&head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
     let service_time = d.clock.now().saturating_duration_since(started);
@@ -441,7 +441,7 @@
     let waited = d.clock.now().saturating_duration_since(since);
     crate::logging::ordinary(
         result == "run",
-        &Admit {
+        &AdmitLine {
             kind: "admit",
             request: &cx.request_id,
             digest: cx.digest.to_string(),
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -1,8 +1,8 @@
 //! One attempt: sends a call to the exit side on the upstream's host and reads its answer.
 
-use super::answer::{self, Got};
+use super::answer::{self, AttemptResult};
 use super::tracked::TrackedBody;
-use super::work::Work;
+use super::work::RoutedCall;
 use super::{exit, headers};
 use crate::daemon::costs::Purpose;
 use crate::daemon::services::{AttemptGuard, Target};
@@ -55,18 +55,18 @@
 /// The exit daemon refuses the call if it would have to wait longer than `options` allows.
 pub async fn send(
     d: &Arc<Daemon>,
-    work: &Work,
+    work: &RoutedCall,
     target: &Target,
     body: Body,
     options: SendOptions,
-) -> Got {
+) -> AttemptResult {
     let started = d.clock.now();
     let demand = work.demand(started);
     let flight = AttemptGuard::new(d, &work.service, target.choice.key, demand);
     let left = work.deadline.saturating_duration_since(started);
     let Some(to) = d.members.address(target.host) else {
         flight.end(Outcome::Unreached);
-        return Got::None(Attempt::unreached(), "unreached");
+        return AttemptResult::NoAnswer(Attempt::unreached(), "unreached");
     };
     lock(&d.liveness).call_sent(target.host, started);
     let cx = context(d, work, target, left, options, started);
@@ -84,14 +84,14 @@
             flight.end(if unsent { Outcome::Unreached } else { Outcome::Failed });
             log::debug!("call {}: exit daemon at {to}: {err}", work.request_id);
             return match unsent {
-                true => Got::None(Attempt::unreached(), "unreached"),
-                false => Got::None(Attempt::Unknown, "exit-broke"),
+                true => AttemptResult::NoAnswer(Attempt::unreached(), "unreached"),
+                false => AttemptResult::NoAnswer(Attempt::Unknown, "exit-broke"),
             };
         }
         None => {
             flight.end(Outcome::Failed);
             d.mesh_pool.forget(to);
-            return Got::None(Attempt::Unknown, "deadline");
+            return AttemptResult::NoAnswer(Attempt::Unknown, "deadline");
         }
     };
     liveness::note_received(d, target.host);
@@ -128,12 +128,12 @@
 
 async fn read_answer(
     d: &Arc<Daemon>,
-    work: &Work,
+    work: &RoutedCall,
     target: &Target,
     res: Response<Body>,
     flight: AttemptGuard,
     started: Instant,
-) -> Got {
+) -> AttemptResult {
     let (head, body) = res.into_parts();
     d.costs.add(
         Purpose::Answer,
@@ -164,7 +164,7 @@
             Attempt::NotRun { retry_after, .. } => Outcome::Refused { retry_after, report },
             Attempt::Unknown | Attempt::Answered => Outcome::Failed,
         });
-        return Got::None(attempt, reason);
+        return AttemptResult::NoAnswer(attempt, reason);
     }
     let service_time = headers::number(&head.headers, call::SERVICE_US).map(Duration::from_micros);
     let left = work.deadline.saturating_duration_since(d.clock.now()) + ANSWER_MARGIN;
@@ -179,15 +179,15 @@
             let kind = KindKey(work.kind);
             let large = answer.is_large();
             d.services.with(&work.service, |service| service.picker.set_large(kind, large));
-            Got::Answer(answer)
+            AttemptResult::Answer(answer)
         }
         Some(Err(reason)) => {
             flight.end(Outcome::Failed);
-            Got::None(Attempt::Unknown, reason)
+            AttemptResult::NoAnswer(Attempt::Unknown, reason)
         }
         None => {
             flight.end(Outcome::Failed);
-            Got::None(Attempt::Unknown, "deadline")
+            AttemptResult::NoAnswer(Attempt::Unknown, "deadline")
         }
     }
 }
@@ -209,7 +209,7 @@
 
 fn context(
     d: &Daemon,
-    work: &Work,
+    work: &RoutedCall,
     target: &Target,
     left: Duration,
     options: SendOptions,
@@ -232,14 +232,14 @@
         organisation: work.organisation.clone(),
         // The attempts that are left are shared by all calls that the upstream makes for
         // this one, so that retries at nine levels add up instead of multiplying.
-        attempts: work.allowed.saturating_sub(1).max(1),
+        attempts: work.max_attempts.saturating_sub(1).max(1),
         version: work.version,
         is_trial: options.is_trial,
         limit_thousandths: named_limit.map(|limit| limit.thousandths()),
     }
 }
 
-fn request(work: &Work, body: Body) -> Request<Body> {
+fn request(work: &RoutedCall, body: Body) -> Request<Body> {
     let mut req = Request::new(body);
     *req.method_mut() = work.head.method.clone();
     *req.uri_mut() = work.head.uri.clone();
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -11,7 +11,7 @@
 //! A daemon that is frozen during its trial loses the key after [`KEY_TTL`], and another
 //! daemon may then start a trial at the same time.
 
-use super::work::Work;
+use super::work::RoutedCall;
 use crate::daemon::{Daemon, quarantine};
 use crate::store::{Lease, Platform, PlatformError, Revision, Swap, keys};
 use cicadashift_core::request::jitter;
@@ -63,7 +63,7 @@
 /// `in_doubt_since` is when the call was first found to be in doubt, and is set here.
 pub async fn wait_for_decision(
     d: &Arc<Daemon>,
-    work: &Work,
+    work: &RoutedCall,
     in_doubt_since: &mut Option<Instant>,
 ) -> QuarantineDecision {
     loop {
@@ -101,7 +101,7 @@
     smol::Timer::after(POLL_INTERVAL).await;
 }
 
-fn wait_deadline(work: &Work, since: Instant) -> Instant {
+fn wait_deadline(work: &RoutedCall, since: Instant) -> Instant {
     work.objective.min(since + MAX_WAIT)
 }
 
@@ -111,7 +111,7 @@
 }
 
 /// Starts a trial if no daemon holds the trial key and the call is still in doubt.
-async fn start_trial(d: &Arc<Daemon>, work: &Work) -> Option<Trial> {
+async fn start_trial(d: &Arc<Daemon>, work: &RoutedCall) -> Option<Trial> {
     let mut next_attempt = d.quarantine.trials.next.try_lock()?;
     let now = d.clock.now();
     if next_attempt.is_some_and(|at| now < at) {
