--- a/crates/http/src/activity.rs
+++ b/crates/http/src/activity.rs
@@ -11,14 +11,14 @@
 /// How long a connection may stay without a request; can be changed while it
 /// does.
 #[derive(Clone, Debug)]
-pub struct Idle {
+pub struct IdleTimeout {
     ms: Arc<AtomicU64>,
 }
 
-impl Idle {
+impl IdleTimeout {
     /// Makes a limit.
-    pub fn new(time: Duration) -> Idle {
-        Idle { ms: Arc::new(AtomicU64::new(time.as_millis() as u64)) }
+    pub fn new(time: Duration) -> IdleTimeout {
+        IdleTimeout { ms: Arc::new(AtomicU64::new(time.as_millis() as u64)) }
     }
 
     /// Changes the limit, also for connections that are open.
@@ -80,7 +80,7 @@
     }
 
     /// Returns once the connection has had no request for as long as it may.
-    pub async fn idle_for(&self, limit: &Idle) {
+    pub async fn idle_for(&self, limit: &IdleTimeout) {
         loop {
             let last = Duration::from_millis(self.last_ms.load(Ordering::Relaxed));
             let unused = match self.busy.load(Ordering::Relaxed) {
--- a/crates/http/src/ahead/mod.rs
+++ b/crates/http/src/ahead/mod.rs
@@ -74,16 +74,16 @@
 /// How long a request was held here before its handler began; among the request's
 /// extensions where that was any time at all.
 #[derive(Clone, Copy, Debug)]
-pub struct Held(pub Duration);
+pub struct PipelineDelay(pub Duration);
 
 /// Tells a handler that began early when its answer's turn comes; among the
 /// request's extensions.
 #[derive(Clone, Debug)]
-pub struct Turn {
+pub struct AnswerTurn {
     rx: async_channel::Receiver<()>,
 }
 
-impl Turn {
+impl AnswerTurn {
     /// Returns once the answers before this one have left.
     pub async fn wait(&self) {
         let _closed = self.rx.recv().await;
@@ -146,7 +146,7 @@
     }
 }
 
-/// Tells a [`Turn`] when dropped.
+/// Tells a [`AnswerTurn`] when dropped.
 struct TurnComes {
     _tx: async_channel::Sender<()>,
 }
@@ -326,8 +326,8 @@
     let target = Target::of(req.method(), req.uri(), req.headers());
     let headers = req.headers().clone();
     let (tx, rx) = async_channel::bounded(1);
-    req.extensions_mut().insert(Held(since.elapsed()));
-    req.extensions_mut().insert(Turn { rx });
+    req.extensions_mut().insert(PipelineDelay(since.elapsed()));
+    req.extensions_mut().insert(AnswerTurn { rx });
     let task = begin(req.map(|()| body::empty()));
     Work::Begun(Box::new(Begun { target, headers, task, _turn: TurnComes { _tx: tx } }))
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -37,7 +37,7 @@
 }
 
 /// Returns a body that keeps a value until it has ended or is dropped.
-pub fn tied(body: Body, value: impl Send + 'static) -> Body {
+pub fn with_guard(body: Body, value: impl Send + 'static) -> Body {
     Tied { body, _value: value }.boxed_unsync()
 }
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,7 +1,7 @@
 //! Sending requests over kept connections.
 //!
 //! A connection is used again only after the caller has read the whole answer
-//! and found it in order ([`Connection::keep`]). Whatever else happens closes it,
+//! and found it in order ([`Connection::return_to`]). Whatever else happens closes it,
 //! so that bytes of one answer can never reach the next request.
 
 use crate::body::{self, Body, BodyError};
@@ -23,7 +23,7 @@
 /// Time after which an unused connection is closed. Servers of this project and
 /// of its users keep them for longer, so a request rarely meets a closing one,
 /// and an idle connection holds two buffers of 8 KB at both ends.
-pub const IDLE_TIME: Duration = Duration::from_secs(4);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Most bytes buffered for one answer; hyper's own bound is 400 KB, which a few
 /// slow readers of large answers make the largest part of a daemon's memory.
 const BUFFER_BYTES: usize = 64 << 10;
@@ -87,7 +87,7 @@
     ///
     /// To be called when the answer has been read whole and found to belong to
     /// its request.
-    pub fn keep(self, pool: &Pool, idle: Duration) {
+    pub fn return_to(self, pool: &Pool, idle: Duration) {
         if self.sender.is_closed() {
             return;
         }
@@ -157,14 +157,14 @@
             let (answer, connection) = self.send(to, req).await?;
             let (head, incoming) = answer.into_parts();
             let buf = body::read(incoming, most).await.map_err(SendError::Body)?;
-            connection.keep(self, IDLE_TIME);
+            connection.return_to(self, IDLE_TIMEOUT);
             Ok(Response::from_parts(head, buf))
         };
         exec::timeout(time, whole).await.unwrap_or(Err(SendError::TimedOut))
     }
 
     /// Closes the kept connections to an address.
-    pub fn forget(&self, to: SocketAddr) {
+    pub fn close_idle(&self, to: SocketAddr) {
         self.lock().remove(&to);
     }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -19,7 +19,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-pub use crate::activity::Idle;
+pub use crate::activity::IdleTimeout;
 
 /// Wait after a failed accept, which usually means no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -38,9 +38,9 @@
     /// Bytes of a request's head.
     pub head_bytes: usize,
     /// Time for a head to arrive.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// How long a connection may stay without a request.
-    pub idle: Idle,
+    pub idle_timeout: IdleTimeout,
     /// Which requests of a connection may be worked on beside others of it; `None`
     /// serves them one at a time.
     pub may_overlap: Option<Arc<MayOverlap>>,
@@ -48,36 +48,36 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        let head_time = Duration::from_secs(30);
+        let head_timeout = Duration::from_secs(30);
         Limits {
             connections: 4096,
             head_bytes: 32 << 10,
-            head_time,
-            idle: Idle::new(head_time),
+            head_timeout,
+            idle_timeout: IdleTimeout::new(head_timeout),
             may_overlap: None,
         }
     }
 }
 
 /// Tells servers to stop; dropping it does.
-pub struct Stop {
+pub struct StopHandle {
     _tx: async_channel::Sender<()>,
 }
 
-/// The servers' end of a [`Stop`].
+/// The servers' end of a [`StopHandle`].
 #[derive(Clone)]
-pub struct Stopped {
+pub struct StopSignal {
     rx: async_channel::Receiver<()>,
 }
 
 /// Makes a way to stop servers.
-pub fn stop_pair() -> (Stop, Stopped) {
+pub fn stop_channel() -> (StopHandle, StopSignal) {
     let (tx, rx) = async_channel::bounded(1);
-    (Stop { _tx: tx }, Stopped { rx })
+    (StopHandle { _tx: tx }, StopSignal { rx })
 }
 
-impl Stopped {
-    /// Returns once the [`Stop`] is dropped.
+impl StopSignal {
+    /// Returns once the [`StopHandle`] is dropped.
     pub async fn wait(&self) {
         let _closed = self.rx.recv().await;
     }
@@ -88,8 +88,12 @@
 ///
 /// The handler gets the peer's address. A connection that is idle when the stop
 /// comes is closed at once; one with a request finishes it first.
-pub async fn serve<F, Fut>(listener: Async<TcpListener>, limits: Limits, stop: Stopped, handler: F)
-where
+pub async fn serve<F, Fut>(
+    listener: Async<TcpListener>,
+    limits: Limits,
+    stop: StopSignal,
+    handler: F,
+) where
     F: Fn(SocketAddr, Request<Body>) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = Response<Body>> + Send + 'static,
 {
@@ -130,7 +134,7 @@
     stream: Async<TcpStream>,
     peer: SocketAddr,
     limits: Limits,
-    stop: Stopped,
+    stop: StopSignal,
     handler: Arc<F>,
 ) where
     F: Fn(SocketAddr, Request<Body>) -> Fut + Send + Sync + 'static,
@@ -149,7 +153,7 @@
     });
     let serving = http1::Builder::new()
         .timer(SmolTimer::new())
-        .header_read_timeout(limits.head_time + limits.idle.get())
+        .header_read_timeout(limits.head_timeout + limits.idle_timeout.get())
         .max_buf_size(limits.head_bytes.max(8192))
         .serve_connection(FuturesIo::new(Io(ahead.clone())), service);
     let mut serving = std::pin::pin!(serving);
@@ -161,7 +165,7 @@
         Over::Closed
     };
     let ending = async {
-        smol::future::or(stop.wait(), activity.idle_for(&limits.idle)).await;
+        smol::future::or(stop.wait(), activity.idle_for(&limits.idle_timeout)).await;
         finish_begun(&ahead).await;
         Over::Ending
     };
@@ -210,7 +214,7 @@
         Taken::New(held) => {
             let mut req = Request::from_parts(head, boxed(incoming));
             if !held.is_zero() {
-                req.extensions_mut().insert(crate::ahead::Held(held));
+                req.extensions_mut().insert(crate::ahead::PipelineDelay(held));
             }
             handler(peer, req).await
         }
@@ -218,7 +222,7 @@
     if ahead.has_begun() {
         keep_open(res.headers_mut());
     }
-    Ok(res.map(|body| body::tied(body, busy)))
+    Ok(res.map(|body| body::with_guard(body, busy)))
 }
 
 /// Takes back an answer's word that it ends the connection.
--- a/crates/http/tests/in_flight.rs
+++ b/crates/http/tests/in_flight.rs
@@ -8,7 +8,7 @@
 use cicadashift_http::body::{self, Body};
 use cicadashift_http::exec;
 use cicadashift_http::hyper::{Request, Response, StatusCode};
-use cicadashift_http::server::{Limits, Stop, serve, stop_pair};
+use cicadashift_http::server::{Limits, StopHandle, serve, stop_channel};
 use smol::Async;
 use smol::channel::{Receiver, Sender, unbounded};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
@@ -33,7 +33,7 @@
     seen: Arc<Mutex<Seen>>,
     news: Receiver<()>,
     release: Sender<()>,
-    stop: Option<Stop>,
+    stop: Option<StopHandle>,
     serving: smol::Task<()>,
 }
 
@@ -60,7 +60,7 @@
         let seen = Arc::new(Mutex::new(Seen::default()));
         let (news_tx, news) = unbounded();
         let (release, held) = unbounded();
-        let (stop, stopped) = stop_pair();
+        let (stop, stopped) = stop_channel();
         let may_overlap = |target: &Target| target.method == "GET";
         let limits = Limits { may_overlap: Some(Arc::new(may_overlap)), ..Limits::default() };
         let of_handler = seen.clone();
--- a/crates/testkit/src/hosted/instance.rs
+++ b/crates/testkit/src/hosted/instance.rs
@@ -11,7 +11,7 @@
 use cicadashift_http::exec;
 use cicadashift_http::hyper::body::Frame;
 use cicadashift_http::hyper::{Method, Request, Response, StatusCode};
-use cicadashift_http::server::{self, Limits, Stop};
+use cicadashift_http::server::{self, Limits, StopHandle};
 use http_body_util::{BodyExt, StreamBody};
 use serde_json::json;
 use smol::Async;
@@ -119,7 +119,7 @@
     control: SocketAddr,
     shared: Arc<Shared>,
     pool: Pool,
-    _stop: Stop,
+    _stop: StopHandle,
 }
 
 impl Instance {
@@ -154,7 +154,7 @@
             fatal: Mutex::default(),
             ends: AtomicU64::new(0),
         });
-        let (stop, stopped) = server::stop_pair();
+        let (stop, stopped) = server::stop_channel();
         let serving = shared.clone();
         exec::spawn(server::serve(listener, Limits::default(), stopped, move |_, req| {
             handle(serving.clone(), req)
--- a/crates/testkit/src/hosted/store.rs
+++ b/crates/testkit/src/hosted/store.rs
@@ -8,7 +8,7 @@
 use cicadashift_http::body::{self, Body};
 use cicadashift_http::exec;
 use cicadashift_http::hyper::{Method, Request, Response, StatusCode};
-use cicadashift_http::server::{self, Limits, Stop};
+use cicadashift_http::server::{self, Limits, StopHandle};
 use serde_json::{Value, json};
 use smol::Async;
 use std::collections::{BTreeMap, HashMap};
@@ -84,7 +84,7 @@
     /// Where it listens.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
-    _stop: Stop,
+    _stop: StopHandle,
 }
 
 impl Store {
@@ -97,7 +97,7 @@
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a free port");
         let addr = listener.get_ref().local_addr().expect("a bound socket has an address");
         let state = Arc::new(Mutex::new(State::default()));
-        let (stop, stopped) = server::stop_pair();
+        let (stop, stopped) = server::stop_channel();
         let serving = state.clone();
         exec::spawn(server::serve(listener, Limits::default(), stopped, move |_, req| {
             handle(serving.clone(), req)
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -11,7 +11,7 @@
 use cicadashift_http::exec;
 use cicadashift_http::hyper::body::Frame;
 use cicadashift_http::hyper::{Request, Response, StatusCode};
-use cicadashift_http::server::{self, Limits, Stop};
+use cicadashift_http::server::{self, Limits, StopHandle};
 use http_body_util::{BodyExt, StreamBody};
 use serde_json::{Value, json};
 use smol::Async;
@@ -112,7 +112,7 @@
     /// Where it listens.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
-    _stop: Stop,
+    _stop: StopHandle,
 }
 
 impl Platform {
@@ -125,8 +125,8 @@
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a free port");
         let addr = listener.get_ref().local_addr().expect("a bound socket has an address");
         let state = Arc::new(Mutex::new(State::default()));
-        let (stop, stopped) = server::stop_pair();
-        let limits = Limits { head_time: Duration::from_secs(120), ..Limits::default() };
+        let (stop, stopped) = server::stop_channel();
+        let limits = Limits { head_timeout: Duration::from_secs(120), ..Limits::default() };
         let serving = state.clone();
         exec::spawn(server::serve(listener, limits, stopped, move |_, req| {
             handle(serving.clone(), req)
--- a/crates/testkit/src/upstream.rs
+++ b/crates/testkit/src/upstream.rs
@@ -6,7 +6,7 @@
 use cicadashift_http::client::{Pool, SendError};
 use cicadashift_http::exec;
 use cicadashift_http::hyper::{Method, Request, Response, StatusCode};
-use cicadashift_http::server::{self, Limits, Stop};
+use cicadashift_http::server::{self, Limits, StopHandle};
 use serde_json::json;
 use smol::Async;
 use std::collections::HashMap;
@@ -106,7 +106,7 @@
     shared: Arc<Shared>,
     daemon: SocketAddr,
     pool: Pool,
-    stop: Mutex<Option<Stop>>,
+    stop: Mutex<Option<StopHandle>>,
 }
 
 impl Upstream {
@@ -131,7 +131,7 @@
             frozen: AtomicBool::new(false),
             last_start: Mutex::new(None),
         });
-        let (stop, stopped) = server::stop_pair();
+        let (stop, stopped) = server::stop_channel();
         let serving = shared.clone();
         exec::spawn(server::serve(listener, Limits::default(), stopped, move |_, req| {
             handle(serving.clone(), req)
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -204,7 +204,7 @@
 async fn until_signal(settings: Settings, file: &Path, log: &LoggerHandle) -> eyre::Result<()> {
     use async_signal::{Signal, Signals};
     use smol::stream::StreamExt;
-    let (stop, stopped) = server::stop_pair();
+    let (stop, stopped) = server::stop_channel();
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     let reloader = Arc::new(Reloader::new(file, settings.clone(), log.clone()));
     let watching = exec::spawn(reload::watch(reloader.clone()));
--- a/src/daemon/gates/local.rs
+++ b/src/daemon/gates/local.rs
@@ -232,7 +232,7 @@
     /// to the upstream, which may be just as unresponsive.
     pub fn record_timeout(&self, d: &Daemon) {
         d.metrics.incr("upstream.silent");
-        self.pool.forget(self.address);
+        self.pool.close_idle(self.address);
     }
 
     /// Returns the entry of the upstream in this host's membership record.
--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -29,7 +29,7 @@
                 let counted = InFlightGuard::new(&d);
                 let res =
                     exit::handle(d.clone(), cx, without_hop_headers(req), exit::Origin::Mesh).await;
-                paced::pace_answer(&d, res).map(|body| body::tied(body, counted))
+                paced::pace_answer(&d, res).map(|body| body::with_guard(body, counted))
             }
             Err(err) => headers::plain(StatusCode::BAD_REQUEST, &format!("{err}\n")),
         };
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -60,7 +60,7 @@
 use cicadashift_http::client::Pool;
 use cicadashift_http::hyper::header::HeaderName;
 use cicadashift_http::hyper::{Request, Response};
-use cicadashift_http::server::{self, Idle, Stop, Stopped};
+use cicadashift_http::server::{self, IdleTimeout, StopHandle, StopSignal};
 use cicadashift_http::{exec, server::Limits};
 use cicadashift_platform::Platform as PlatformAdapter;
 use cicadashift_wire::call;
@@ -117,7 +117,7 @@
     /// interface.
     pub platform_adapter: Option<PlatformAdapter>,
     /// Idle timeout of callers' connections.
-    pub caller_idle: Idle,
+    pub caller_idle: IdleTimeout,
     /// Whether the other daemons' entries in the store were read at least once.
     pub has_read_entries: AtomicBool,
     /// Lease of this daemon's entry in the store, while it has one.
@@ -191,7 +191,7 @@
 pub async fn run(
     settings: Settings,
     clock: Arc<dyn Clock>,
-    stop: Stopped,
+    stop: StopSignal,
     changes: Receiver<Settings>,
 ) -> eyre::Result<()> {
     let callers = listen("callers", settings.callers)?;
@@ -253,9 +253,9 @@
 
 /// Tasks that serve the ports, and the handles that stop them.
 struct Serving {
-    calls_stop: Stop,
+    calls_stop: StopHandle,
     calls: smol::Task<()>,
-    mesh_stop: Stop,
+    mesh_stop: StopHandle,
     mesh: smol::Task<()>,
     local: smol::Task<()>,
     auxiliary: [Option<smol::Task<()>>; 2],
@@ -268,12 +268,12 @@
     mesh: Async<TcpListener>,
 ) -> eyre::Result<Serving> {
     let limits = &d.settings.limits;
-    let head_time = Duration::from_millis(limits.head_ms);
+    let head_timeout = Duration::from_millis(limits.head_ms);
     let base = Limits {
         connections: 0,
         head_bytes: limits.head_bytes,
-        head_time,
-        idle: d.caller_idle.clone(),
+        head_timeout,
+        idle_timeout: d.caller_idle.clone(),
         may_overlap: None,
     };
     let overlap_daemon = d.clone();
@@ -283,10 +283,13 @@
         may_overlap: Some(Arc::new(may_overlap)),
         ..base.clone()
     };
-    let mesh_limits =
-        Limits { connections: limits.mesh_connections, idle: Idle::new(MESH_IDLE), ..base.clone() };
-    let (calls_stop, calls_stopped) = server::stop_pair();
-    let (mesh_stop, mesh_stopped) = server::stop_pair();
+    let mesh_limits = Limits {
+        connections: limits.mesh_connections,
+        idle_timeout: IdleTimeout::new(MESH_IDLE),
+        ..base.clone()
+    };
+    let (calls_stop, calls_stopped) = server::stop_channel();
+    let (mesh_stop, mesh_stopped) = server::stop_channel();
     let (for_calls, for_local, for_mesh) = (d.clone(), d.clone(), d.clone());
     let calls =
         exec::spawn(server::serve(callers, caller_limits, calls_stopped, move |peer, req| {
@@ -369,7 +372,7 @@
                 .as_ref()
                 .map_or_else(own_dialect, |adapter| adapter.dialect().clone()),
             platform_adapter,
-            caller_idle: Idle::new(Duration::from_millis(settings.limits.head_ms)),
+            caller_idle: IdleTimeout::new(Duration::from_millis(settings.limits.head_ms)),
             has_read_entries: AtomicBool::new(false),
             entry_lease: Mutex::new(None),
             is_fetching_config: AtomicBool::new(false),
@@ -486,7 +489,7 @@
     d: &Arc<Daemon>,
     name: &str,
     addr: Option<SocketAddr>,
-    stopped: &Stopped,
+    stopped: &StopSignal,
     handler: F,
 ) -> eyre::Result<Option<smol::Task<()>>>
 where
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -16,7 +16,7 @@
 use cicadashift_core::request::gate::KindKey;
 use cicadashift_core::request::jitter;
 use cicadashift_core::request::retry::MAX_ATTEMPTS;
-use cicadashift_http::ahead::{Held, Target, Turn};
+use cicadashift_http::ahead::{AnswerTurn, PipelineDelay, Target};
 use cicadashift_http::body::{self, Body, BodyError};
 use cicadashift_http::exec;
 use cicadashift_http::hyper::body::Body as _;
@@ -48,8 +48,8 @@
 pub async fn handle(d: Arc<Daemon>, peer: SocketAddr, req: Request<Body>) -> Response<Body> {
     let counted = InFlightGuard::new(&d);
     let now = d.clock.now();
-    let started = match req.extensions().get::<Held>() {
-        Some(Held(time)) => {
+    let started = match req.extensions().get::<PipelineDelay>() {
+        Some(PipelineDelay(time)) => {
             d.metrics.time("call.held", *time);
             now.checked_sub(*time).unwrap_or(now)
         }
@@ -68,7 +68,7 @@
         let seconds = MAX_CALLER_IDLE.as_secs();
         headers::set(res.headers_mut(), "keep-alive", &format!("timeout={seconds}"));
     }
-    paced::pace_answer(&d, res).map(|body| body::tied(body, counted))
+    paced::pace_answer(&d, res).map(|body| body::with_guard(body, counted))
 }
 
 async fn serve(
@@ -124,7 +124,7 @@
     };
     headers::strip_ours(&mut head.headers);
     headers::strip_hop_by_hop(&mut head.headers);
-    let turn = head.extensions.remove::<Turn>();
+    let turn = head.extensions.remove::<AnswerTurn>();
     let mut payload =
         match exec::timeout(time, buffer(incoming, MAX_BUFFERED, route.max_body)).await {
             Some(Ok(payload)) => payload,
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -16,7 +16,7 @@
 use cicadashift_core::request::link::LargeAnswer;
 use cicadashift_core::request::suspects::{QuarantineState, Review, SETTLE_TIME};
 use cicadashift_http::body::{self, Body};
-use cicadashift_http::client::{Connection, IDLE_TIME};
+use cicadashift_http::client::{Connection, IDLE_TIMEOUT};
 use cicadashift_http::exec;
 use cicadashift_http::hyper::body::Incoming;
 use cicadashift_http::hyper::header::HeaderMap;
@@ -28,7 +28,7 @@
 /// Time after which to retry a call whose upstream could not be reached or was replaced: its
 /// next start or report takes at least as long.
 const UNREACHED_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Share of the keep-alive time that an upstream states, or else of [`IDLE_TIME`], in which
+/// Share of the keep-alive time that an upstream states, or else of [`IDLE_TIMEOUT`], in which
 /// a connection is reused. The rest is for requests that are on their way at its end.
 const REUSE_SHARE: f64 = 0.7;
 
@@ -265,7 +265,7 @@
                 quarantine::record_answer(&d, digest);
             }
             if is_complete && let Some(time) = reuse_time {
-                connection.keep(&local.pool, time);
+                connection.return_to(&local.pool, time);
             }
         })
     };
@@ -359,7 +359,7 @@
     let local = local.clone();
     exec::spawn(async move {
         if cicadashift_http::body::read(incoming, MAX_REFUSAL_BODY).await.is_ok() {
-            connection.keep(&local.pool, IDLE_TIME);
+            connection.return_to(&local.pool, IDLE_TIMEOUT);
         }
     })
     .detach();
@@ -379,7 +379,7 @@
         let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.parse::<u64>().ok()
     });
-    let time = stated.map_or(IDLE_TIME, Duration::from_secs);
+    let time = stated.map_or(IDLE_TIMEOUT, Duration::from_secs);
     Some(time.mul_f64(REUSE_SHARE))
 }
 
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -11,7 +11,7 @@
 use cicadashift_core::request::gate::KindKey;
 use cicadashift_core::request::retry::Attempt;
 use cicadashift_http::body::Body;
-use cicadashift_http::client::{IDLE_TIME, SendError};
+use cicadashift_http::client::{IDLE_TIMEOUT, SendError};
 use cicadashift_http::exec;
 use cicadashift_http::hyper::body::Body as HttpBody;
 use cicadashift_http::hyper::header::HeaderMap;
@@ -90,7 +90,7 @@
         }
         None => {
             flight.end(Outcome::Failed);
-            d.mesh_pool.forget(to);
+            d.mesh_pool.close_idle(to);
             return Got::None(Attempt::Unknown, "deadline");
         }
     };
@@ -120,7 +120,7 @@
     let d = d.clone();
     let keep = move |is_complete: bool| {
         if is_complete {
-            connection.keep(&d.mesh_pool, IDLE_TIME);
+            connection.return_to(&d.mesh_pool, IDLE_TIMEOUT);
         }
     };
     Ok(res.map(|incoming| TrackedBody::new(incoming, keep).boxed_unsync()))
--- a/src/daemon/request/work.rs
+++ b/src/daemon/request/work.rs
@@ -4,7 +4,7 @@
 use cicadashift_core::ids::CallDigest;
 use cicadashift_core::request::choose::Demand;
 use cicadashift_core::request::gate::KindKey;
-use cicadashift_http::ahead::Turn;
+use cicadashift_http::ahead::AnswerTurn;
 use cicadashift_http::hyper::http::request::Parts;
 use std::sync::Arc;
 use std::time::Instant;
@@ -46,7 +46,7 @@
     /// Its head.
     pub head: Parts,
     /// When its answer can leave, where others of its connection go before.
-    pub turn: Option<Turn>,
+    pub turn: Option<AnswerTurn>,
 }
 
 impl Work {
