--- a/crates/http/src/activity.rs
+++ b/crates/http/src/activity.rs
@@ -1,27 +1,27 @@
-//! What a connection is doing, and for how long it has been idle.
+//! The requests in flight on a connection, and how long it has been idle.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longest time between two looks whether a connection is idle, so that a limit
-/// that was lowered takes effect.
-const IDLE_STEP: Duration = Duration::from_secs(5);
+/// Maximum interval between two checks of whether a connection has been idle for too
+/// long, so that a lowered timeout also takes effect on open connections.
+const MAX_IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a connection may stay without a request; can be changed while it
-/// does.
+/// How long a connection may stay open without a request. Clones share the value,
+/// which can be changed while connections are open.
 #[derive(Clone, Debug)]
 pub struct IdleTimeout {
     ms: Arc<AtomicU64>,
 }
 
 impl IdleTimeout {
-    /// Makes a limit.
+    /// Creates an idle timeout.
     pub fn new(time: Duration) -> IdleTimeout {
         IdleTimeout { ms: Arc::new(AtomicU64::new(time.as_millis() as u64)) }
     }
 
-    /// Changes the limit, also for connections that are open.
+    /// Changes the timeout, also for open connections.
     pub fn set(&self, time: Duration) {
         self.ms.store(time.as_millis() as u64, Ordering::Relaxed);
     }
@@ -31,67 +31,72 @@
     }
 }
 
-/// What one connection is doing.
+/// The requests in flight on one connection and the end of the last answer.
 pub struct Activity {
-    started: Instant,
-    /// Requests whose answers have not ended.
-    busy: AtomicUsize,
-    /// Milliseconds from `started` to the end of the last answer.
-    last_ms: AtomicU64,
+    opened: Instant,
+    /// Requests whose answers have not been sent completely.
+    in_flight: AtomicUsize,
+    /// Milliseconds from `opened` to the end of the last answer.
+    last_end_ms: AtomicU64,
 }
 
-/// A request on a connection; ends with its answer's body.
-pub struct Busy(Arc<Activity>);
+/// Counts a request as in flight until it is dropped with the answer's body.
+pub struct RequestGuard(Arc<Activity>);
 
-impl Busy {
-    pub fn new(activity: &Arc<Activity>) -> Busy {
-        activity.busy.fetch_add(1, Ordering::Relaxed);
-        Busy(activity.clone())
+impl RequestGuard {
+    pub fn new(activity: &Arc<Activity>) -> RequestGuard {
+        activity.in_flight.fetch_add(1, Ordering::Relaxed);
+        RequestGuard(activity.clone())
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        let ms = self.0.started.elapsed().as_millis() as u64;
-        self.0.last_ms.store(ms, Ordering::Relaxed);
-        self.0.busy.fetch_sub(1, Ordering::Relaxed);
+        let ms = self.0.opened.elapsed().as_millis() as u64;
+        self.0.last_end_ms.store(ms, Ordering::Relaxed);
+        self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Activity {
     pub fn new() -> Activity {
-        Activity { started: Instant::now(), busy: AtomicUsize::new(0), last_ms: AtomicU64::new(0) }
+        Activity {
+            opened: Instant::now(),
+            in_flight: AtomicUsize::new(0),
+            last_end_ms: AtomicU64::new(0),
+        }
     }
 
-    /// Returns whether a request's answer has not ended.
+    /// Returns whether a request is in flight.
     pub fn is_busy(&self) -> bool {
-        self.busy.load(Ordering::Relaxed) > 0
+        self.in_flight.load(Ordering::Relaxed) > 0
     }
 
-    /// Returns after a time, or later when the connection has no request.
+    /// Waits for `time`, and again for `time` while a request is in flight.
     ///
-    /// hyper waits for the first request of a connection that has had none, also
-    /// when it is told to shut down; a stop would wait with it.
-    pub async fn unused_after(&self, time: Duration) {
+    /// hyper keeps waiting for the first request of a connection that has had none,
+    /// even after a graceful shutdown is requested; without this bound a stop would
+    /// wait as well.
+    pub async fn idle_after(&self, time: Duration) {
         smol::Timer::after(time).await;
-        while self.busy.load(Ordering::Relaxed) > 0 {
+        while self.in_flight.load(Ordering::Relaxed) > 0 {
             smol::Timer::after(time).await;
         }
     }
 
-    /// Returns once the connection has had no request for as long as it may.
-    pub async fn idle_for(&self, limit: &IdleTimeout) {
+    /// Returns once the connection has been without a request for the idle timeout.
+    pub async fn idle_timed_out(&self, timeout: &IdleTimeout) {
         loop {
-            let last = Duration::from_millis(self.last_ms.load(Ordering::Relaxed));
-            let unused = match self.busy.load(Ordering::Relaxed) {
-                0 => self.started.elapsed().saturating_sub(last),
+            let last_end = Duration::from_millis(self.last_end_ms.load(Ordering::Relaxed));
+            let idle = match self.in_flight.load(Ordering::Relaxed) {
+                0 => self.opened.elapsed().saturating_sub(last_end),
                 _ => Duration::ZERO,
             };
-            let left = limit.get().saturating_sub(unused);
-            if left.is_zero() {
+            let remaining = timeout.get().saturating_sub(idle);
+            if remaining.is_zero() {
                 return;
             }
-            smol::Timer::after(left.min(IDLE_STEP)).await;
+            smol::Timer::after(remaining.min(MAX_IDLE_CHECK_INTERVAL)).await;
         }
     }
 }
--- a/crates/http/src/ahead/mod.rs
+++ b/crates/http/src/ahead/mod.rs
@@ -1,27 +1,28 @@
-//! Reading a connection ahead, and working on several of its requests at once.
+//! Reading ahead on a connection, and handling several of its requests concurrently.
 //!
-//! hyper serves the requests of a connection strictly in turn: the next one is read
-//! when the answer before it has been written. A caller that sends further requests
-//! before the first answer then has them wait unread, behind whichever is slow.
+//! hyper serves the requests of a connection strictly one after the other: it reads the
+//! next one when the answer before it has been written. Pipelined requests would
+//! therefore wait unread behind a slow one.
 //!
-//! An [`Ahead`] stands between the socket and hyper. While hyper is busy with a
-//! request it reads on, finds the heads of further ones ([`scan`]), and begins those
-//! that may overlap. hyper still parses every byte, and it alone decides what is a
-//! request, in which order answers leave and when the connection ends: when it comes
-//! to a request that was begun already, it takes up the answer in progress.
+//! A [`ReadAhead`] sits between the socket and hyper. While hyper serves a request, it
+//! reads on, finds the heads of further requests ([`scan`]), and starts those that may
+//! overlap. hyper still parses every byte, and it alone decides what is a request, in
+//! which order answers are written and when the connection ends. When hyper reaches a
+//! request that was started early, it takes over the answer in progress.
 //!
-//! # What is begun early
+//! # Which requests are started early
 //!
-//! Only requests without a body that the handler's owner lets overlap, each behind
-//! others of that sort. An answer before it may close the connection, and its caller
-//! then sends the request again: one that may not run twice waits for its turn.
+//! Only requests without a body for which [`MayOverlap`] returns true, and only while
+//! every request before them is of this kind. An answer before a request may close the
+//! connection, and its caller then sends the request again: a request that may not run
+//! twice waits for its turn.
 //!
 //! # Limits
 //!
-//! At most [`MOST_AHEAD`] requests and [`MOST_UNREAD`] bytes are held for a
-//! connection. While that many wait, nothing is read, so that a caller that leaves
-//! is noticed when the answer before them is written. A chunked body ends reading
-//! ahead for the rest of its connection.
+//! At most [`MAX_PIPELINED`] requests and [`MAX_UNREAD_BYTES`] bytes are buffered per
+//! connection. Nothing is read while either limit is reached, so a caller that
+//! disconnects then is noticed only when the answer before them is written. A chunked
+//! body ends reading ahead for the rest of its connection.
 
 mod scan;
 
@@ -30,7 +31,7 @@
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, Uri};
-use scan::{Scan, Step};
+use scan::{Scanner, Step};
 use smol::io::{AsyncRead, AsyncWrite};
 use smol::{Async, Task};
 use std::collections::VecDeque;
@@ -41,26 +42,27 @@
 use std::task::{Context, Poll, ready};
 use std::time::{Duration, Instant};
 
-/// Most requests read behind the one that hyper serves. A caller gains from each
-/// further one only while upstreams have slots for it; each may hold an answer of
-/// 64 KB until its turn, a megabyte a connection in all.
-pub const MOST_AHEAD: usize = 16;
-/// Most bytes read and not yet taken up by hyper.
-pub const MOST_UNREAD: usize = 16 << 10;
-/// Bytes read at once.
-const CHUNK: usize = 4096;
-
-/// Whether a request may be begun before the answers to those before it have left.
+/// Maximum number of requests read behind the one that hyper serves. A caller gains
+/// from a further one only while upstreams have slots for it. Each may buffer an answer
+/// of 64 KB until its turn, which is a megabyte per connection.
+pub const MAX_PIPELINED: usize = 16;
+/// Maximum bytes read from the socket and not yet by hyper.
+pub const MAX_UNREAD_BYTES: usize = 16 << 10;
+/// Maximum bytes of one read from the socket.
+const READ_CHUNK: usize = 4096;
+
+/// Returns whether a request may be started before the answers to the requests before it
+/// have been written.
 pub type MayOverlap = dyn Fn(&Target) -> bool + Send + Sync;
 
-/// What a request asks for, as far as [`MayOverlap`] needs it.
+/// The parts of a request that [`MayOverlap`] needs.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its method.
+    /// The request's method.
     pub method: Method,
-    /// Its target.
+    /// The request's URI.
     pub uri: Uri,
-    /// Its `Host` header.
+    /// The request's `Host` header.
     pub host: Option<HeaderValue>,
 }
 
@@ -71,30 +73,30 @@
     }
 }
 
-/// How long a request was held here before its handler began; among the request's
-/// extensions where that was any time at all.
+/// How long a pipelined request waited before its handler started; an extension of the
+/// requests that waited.
 #[derive(Clone, Copy, Debug)]
 pub struct PipelineDelay(pub Duration);
 
-/// Tells a handler that began early when its answer's turn comes; among the
-/// request's extensions.
+/// Tells the handler of a request that was started early when its answer can be written;
+/// an extension of these requests.
 #[derive(Clone, Debug)]
 pub struct AnswerTurn {
     rx: async_channel::Receiver<()>,
 }
 
 impl AnswerTurn {
-    /// Returns once the answers before this one have left.
+    /// Returns once the answers before this one have been written.
     pub async fn wait(&self) {
         let _closed = self.rx.recv().await;
     }
 }
 
-/// Begins the work on one request.
-pub type Begin<'a> = &'a dyn Fn(Request<Body>) -> Task<Response<Body>>;
+/// Starts the handler of one request.
+pub type StartHandler<'a> = &'a dyn Fn(Request<Body>) -> Task<Response<Body>>;
 
-/// One connection's reading and what was begun early on it.
-pub struct Ahead {
+/// The read side of one connection, with the requests started early on it.
+pub struct ReadAhead {
     stream: Arc<Async<TcpStream>>,
     may_overlap: Option<Arc<MayOverlap>>,
     head_bytes: usize,
@@ -102,153 +104,162 @@
 }
 
 struct State {
-    scan: Scan,
-    /// Read from the socket and not yet by hyper.
+    scanner: Scanner,
+    /// Bytes read from the socket and not yet by hyper.
     unread: BytesMut,
     /// How many bytes of `unread` hyper may read.
     scanned: usize,
-    /// Requests found and not yet taken up by hyper, in order.
+    /// Requests found and not yet parsed by hyper, in order.
     queue: VecDeque<Queued>,
-    /// What hyper works on.
+    /// The request that hyper serves.
     current: Option<Target>,
-    /// Whether nothing more comes from the caller.
-    ended: bool,
-    /// Whether nothing more is begun early.
+    /// Whether the read side of the socket has ended or failed.
+    read_closed: bool,
+    /// Whether no further request is started early.
     stopped: bool,
 }
 
 struct Queued {
     since: Instant,
-    work: Work,
+    progress: Progress,
 }
 
-enum Work {
-    /// To be begun by hyper.
-    InTurn,
-    /// May be begun if what is before it lets it.
-    Found(Box<Request<()>>),
-    /// Begun.
-    Begun(Box<Begun>),
+enum Progress {
+    /// To be started when hyper reaches it.
+    InOrder,
+    /// Has no body, and may be started early if the requests before it allow it.
+    Startable(Box<Request<()>>),
+    /// Started early.
+    Started(Box<Started>),
 }
 
-/// A request that was begun early; dropping it ends the work.
-struct Begun {
+/// A request that was started early; dropping it cancels its handler.
+struct Started {
     target: Target,
     headers: HeaderMap,
     task: Task<Response<Body>>,
-    _turn: TurnComes,
+    _turn: TurnSignal,
 }
 
-impl Begun {
-    fn is_of(&self, head: &Parts) -> bool {
+impl Started {
+    fn is_same_request(&self, head: &Parts) -> bool {
         let target = &self.target;
         target.method == head.method && target.uri == head.uri && self.headers == head.headers
     }
 }
 
-/// Tells a [`AnswerTurn`] when dropped.
-struct TurnComes {
+/// Completes the [`AnswerTurn`] when dropped.
+struct TurnSignal {
     _tx: async_channel::Sender<()>,
 }
 
-/// What is known of a request that hyper comes to.
-pub enum Taken {
-    /// It is to be begun now, and was held for this time.
+/// How a request that hyper has parsed is to be served.
+pub enum NextRequest {
+    /// It is to be started now, after having waited for this time.
     New(Duration),
-    /// It was begun early.
-    Begun(Task<Response<Body>>),
+    /// It was started early.
+    Started(Task<Response<Body>>),
 }
 
-impl Ahead {
-    /// Makes the reading side of a connection; without `may_overlap` it adds nothing
-    /// to hyper's own.
+impl ReadAhead {
+    /// Creates the read side of a connection. Without `may_overlap` nothing is read ahead.
     pub fn new(
         stream: Arc<Async<TcpStream>>,
         may_overlap: Option<Arc<MayOverlap>>,
         head_bytes: usize,
-    ) -> Ahead {
-        let scan = if may_overlap.is_some() { Scan::Head } else { Scan::GivenUp };
+    ) -> ReadAhead {
+        let scanner = if may_overlap.is_some() { Scanner::Head } else { Scanner::Disabled };
         let state = State {
-            scan,
+            scanner,
             unread: BytesMut::new(),
             scanned: 0,
             queue: VecDeque::new(),
             current: None,
-            ended: false,
+            read_closed: false,
             stopped: false,
         };
-        // A head that is longer than what is held could never be found whole.
-        let head_bytes = head_bytes.min(MOST_UNREAD);
-        Ahead { stream, may_overlap, head_bytes, state: Mutex::new(state) }
+        // A head longer than the buffer could never be found complete.
+        let head_bytes = head_bytes.min(MAX_UNREAD_BYTES);
+        ReadAhead { stream, may_overlap, head_bytes, state: Mutex::new(state) }
     }
 
-    /// Returns what is known of a request that hyper has come to.
-    pub fn take(&self, head: &Parts) -> Taken {
+    /// Takes the request that hyper has just parsed off the queue, and makes it the current
+    /// one.
+    pub fn take_next(&self, head: &Parts) -> NextRequest {
         if self.may_overlap.is_none() {
-            return Taken::New(Duration::ZERO);
+            return NextRequest::New(Duration::ZERO);
         }
         let mut state = self.lock();
         state.current = Some(Target::of(&head.method, &head.uri, &head.headers));
-        let Some(queued) = state.queue.pop_front() else { return Taken::New(Duration::ZERO) };
-        match queued.work {
-            Work::InTurn | Work::Found(_) => Taken::New(queued.since.elapsed()),
-            Work::Begun(begun) => {
-                // Both come from the same bytes by the same parser. If they ever
-                // differed, a caller would get the answer to another request.
-                if begun.is_of(head) {
-                    return Taken::Begun(begun.task);
+        let Some(queued) = state.queue.pop_front() else { return NextRequest::New(Duration::ZERO) };
+        match queued.progress {
+            Progress::InOrder | Progress::Startable(_) => NextRequest::New(queued.since.elapsed()),
+            Progress::Started(started) => {
+                // Both were parsed from the same bytes by the same parser. If they
+                // differed, the caller would get the answer to another request.
+                if started.is_same_request(head) {
+                    return NextRequest::Started(started.task);
                 }
-                log::error!("a request read ahead is not the one that hyper read: begun anew");
-                state.scan = Scan::GivenUp;
+                log::error!(
+                    "request read ahead differs from the one that hyper parsed; starting it again"
+                );
+                state.scanner = Scanner::Disabled;
                 state.queue.clear();
-                Taken::New(queued.since.elapsed())
+                NextRequest::New(queued.since.elapsed())
             }
         }
     }
 
-    /// Returns whether a request behind the present one was begun.
-    pub fn has_begun(&self) -> bool {
-        let begun = |queued: &Queued| matches!(queued.work, Work::Begun(_));
-        self.lock().queue.iter().any(begun)
+    /// Returns whether a request behind the current one was started early.
+    pub fn has_started(&self) -> bool {
+        let is_started = |queued: &Queued| matches!(queued.progress, Progress::Started(_));
+        self.lock().queue.iter().any(is_started)
     }
 
-    /// Begins nothing early from now on.
-    pub fn stop(&self) {
+    /// Starts no further request early.
+    pub fn stop_early_starts(&self) {
         self.lock().stopped = true;
     }
 
-    /// Reads on and begins what may be begun; ready once the caller has left.
+    /// Reads ahead and starts the requests that may overlap; ready once the caller has
+    /// disconnected.
     ///
-    /// To be polled after hyper, in the same task. `busy` tells whether hyper works
-    /// on a request; if it does not, it reads for itself.
-    pub fn poll(&self, cx: &mut Context<'_>, busy: bool, begin: Begin<'_>) -> Poll<()> {
+    /// To be polled after hyper, in the same task. `busy` tells whether hyper serves a
+    /// request; if not, hyper reads from the socket through [`Io`].
+    pub fn poll(
+        &self,
+        cx: &mut Context<'_>,
+        busy: bool,
+        start_handler: StartHandler<'_>,
+    ) -> Poll<()> {
         let Some(may_overlap) = &self.may_overlap else { return Poll::Pending };
         let mut state = self.lock();
         if !busy {
-            // It shares hyper's buffer, which an idle connection is not to hold.
+            // `current` shares memory with hyper's read buffer, which an idle connection
+            // should not keep allocated.
             state.current = None;
             return Poll::Pending;
         }
         loop {
-            state.find(self.head_bytes);
-            state.begin_found(may_overlap, begin);
-            if state.ended {
+            state.scan_unread(self.head_bytes);
+            state.start_overlapping(may_overlap, start_handler);
+            if state.read_closed {
                 return Poll::Ready(());
             }
-            if state.is_full() || state.scan != Scan::Head {
+            if state.is_full() || state.scanner != Scanner::Head {
                 return Poll::Pending;
             }
-            ready!(self.fill(cx, &mut state));
+            ready!(self.read_chunk(cx, &mut state));
         }
     }
 
-    /// Reads some bytes and finds what is whole among them.
-    fn fill(&self, cx: &mut Context<'_>, state: &mut State) -> Poll<()> {
-        let mut chunk = [0; CHUNK];
-        // An error ends the connection as its end does: nothing more comes, and
-        // nobody reads an answer.
+    /// Reads some bytes from the socket into `unread`.
+    fn read_chunk(&self, cx: &mut Context<'_>, state: &mut State) -> Poll<()> {
+        let mut chunk = [0; READ_CHUNK];
+        // An error is treated like the end of the stream: no further bytes arrive, and
+        // nobody reads the answers.
         match ready!(Pin::new(&mut &*self.stream).poll_read(cx, &mut chunk)) {
-            Ok(0) | Err(_) => state.ended = true,
+            Ok(0) | Err(_) => state.read_closed = true,
             Ok(len) => state.unread.extend_from_slice(&chunk[..len]),
         }
         Poll::Ready(())
@@ -261,20 +272,20 @@
 
 impl State {
     fn is_full(&self) -> bool {
-        self.queue.len() >= MOST_AHEAD || self.unread.len() >= MOST_UNREAD
+        self.queue.len() >= MAX_PIPELINED || self.unread.len() >= MAX_UNREAD_BYTES
     }
 
-    /// Follows the bytes read as far as they are whole, and until enough requests are
-    /// found.
-    fn find(&mut self, head_bytes: usize) {
-        while self.scanned < self.unread.len() && self.queue.len() < MOST_AHEAD {
-            let work = match self.scan.step(&self.unread[self.scanned..], head_bytes) {
-                Step::Partial if self.ended => {
-                    self.scan = Scan::GivenUp;
+    /// Scans the unread bytes and queues the requests found, up to the first incomplete
+    /// head or until the queue is full.
+    fn scan_unread(&mut self, head_bytes: usize) {
+        while self.scanned < self.unread.len() && self.queue.len() < MAX_PIPELINED {
+            let progress = match self.scanner.step(&self.unread[self.scanned..], head_bytes) {
+                Step::Partial if self.read_closed => {
+                    self.scanner = Scanner::Disabled;
                     continue;
                 }
                 Step::Partial => return,
-                Step::GaveUp => {
+                Step::Unsupported => {
                     self.scanned = self.unread.len();
                     return;
                 }
@@ -282,58 +293,64 @@
                     self.scanned += len;
                     continue;
                 }
-                Step::Sized(len) => {
+                Step::WithBody(len) => {
                     self.scanned += len;
-                    Work::InTurn
+                    Progress::InOrder
                 }
-                Step::Bare(req, len) => {
+                Step::NoBody(req, len) => {
                     self.scanned += len;
-                    Work::Found(req)
+                    Progress::Startable(req)
                 }
             };
-            self.queue.push_back(Queued { since: Instant::now(), work });
+            self.queue.push_back(Queued { since: Instant::now(), progress });
         }
     }
 
-    /// Begins the requests that may overlap, up to the first that may not.
-    fn begin_found(&mut self, may_overlap: &Arc<MayOverlap>, begin: Begin<'_>) {
-        let has_found = |queued: &Queued| matches!(queued.work, Work::Found(_));
-        if self.stopped || !self.queue.iter().any(has_found) {
+    /// Starts the queued requests that may overlap, up to the first that may not.
+    fn start_overlapping(
+        &mut self,
+        may_overlap: &Arc<MayOverlap>,
+        start_handler: StartHandler<'_>,
+    ) {
+        let is_startable = |queued: &Queued| matches!(queued.progress, Progress::Startable(_));
+        if self.stopped || !self.queue.iter().any(is_startable) {
             return;
         }
         if !self.current.as_ref().is_some_and(|target| may_overlap(target)) {
             return;
         }
         for queued in &mut self.queue {
-            match &queued.work {
-                Work::InTurn => return,
-                Work::Begun(_) => continue,
-                Work::Found(req) => {
+            match &queued.progress {
+                Progress::InOrder => return,
+                Progress::Started(_) => continue,
+                Progress::Startable(req) => {
                     let target = Target::of(req.method(), req.uri(), req.headers());
                     if !may_overlap(&target) {
                         return;
                     }
                 }
             }
-            if let Work::Found(req) = std::mem::replace(&mut queued.work, Work::InTurn) {
-                queued.work = begun(*req, queued.since, begin);
+            if let Progress::Startable(req) =
+                std::mem::replace(&mut queued.progress, Progress::InOrder)
+            {
+                queued.progress = start_early(*req, queued.since, start_handler);
             }
         }
     }
 }
 
-fn begun(mut req: Request<()>, since: Instant, begin: Begin<'_>) -> Work {
+fn start_early(mut req: Request<()>, since: Instant, start_handler: StartHandler<'_>) -> Progress {
     let target = Target::of(req.method(), req.uri(), req.headers());
     let headers = req.headers().clone();
     let (tx, rx) = async_channel::bounded(1);
     req.extensions_mut().insert(PipelineDelay(since.elapsed()));
     req.extensions_mut().insert(AnswerTurn { rx });
-    let task = begin(req.map(|()| body::empty()));
-    Work::Begun(Box::new(Begun { target, headers, task, _turn: TurnComes { _tx: tx } }))
+    let task = start_handler(req.map(|()| body::empty()));
+    Progress::Started(Box::new(Started { target, headers, task, _turn: TurnSignal { _tx: tx } }))
 }
 
-/// The socket as hyper sees it.
-pub struct Io(pub Arc<Ahead>);
+/// The connection's stream that hyper reads from and writes to.
+pub struct Io(pub Arc<ReadAhead>);
 
 impl AsyncRead for Io {
     fn poll_read(
@@ -341,40 +358,41 @@
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let ahead = &self.0;
-        let mut state = ahead.lock();
+        let read_ahead = &self.0;
+        let mut state = read_ahead.lock();
         loop {
-            state.find(ahead.head_bytes);
+            state.scan_unread(read_ahead.head_bytes);
             if state.scanned > 0 {
                 let len = state.scanned.min(buf.len());
                 buf[..len].copy_from_slice(&state.unread[..len]);
                 state.unread.advance(len);
                 state.scanned -= len;
                 if state.unread.is_empty() {
-                    // An idle connection holds no memory for this.
+                    // Frees the buffer, so that an idle connection holds no memory for it.
                     state.unread = BytesMut::new();
                 }
                 return Poll::Ready(Ok(len));
             }
-            if state.ended {
+            if state.read_closed {
                 return Poll::Ready(Ok(0));
             }
             if state.is_full() {
-                // hyper has requests enough, and asks again when it takes one up.
+                // hyper has not yet parsed the queued requests, and polls again once it has
+                // parsed one of them.
                 return Poll::Pending;
             }
-            let passed = match state.scan {
-                Scan::Head => 0,
-                Scan::Body(left) => buf.len().min(usize::try_from(left).unwrap_or(usize::MAX)),
-                Scan::GivenUp => buf.len(),
+            let passthrough = match state.scanner {
+                Scanner::Head => 0,
+                Scanner::Body(left) => buf.len().min(usize::try_from(left).unwrap_or(usize::MAX)),
+                Scanner::Disabled => buf.len(),
             };
-            if passed > 0 {
-                let mut stream = &*ahead.stream;
-                let len = ready!(Pin::new(&mut stream).poll_read(cx, &mut buf[..passed]))?;
-                let _skipped = state.scan.step(&buf[..len], ahead.head_bytes);
+            if passthrough > 0 {
+                let mut stream = &*read_ahead.stream;
+                let len = ready!(Pin::new(&mut stream).poll_read(cx, &mut buf[..passthrough]))?;
+                let _skipped = state.scanner.step(&buf[..len], read_ahead.head_bytes);
                 return Poll::Ready(Ok(len));
             }
-            ready!(ahead.fill(cx, &mut state));
+            ready!(read_ahead.read_chunk(cx, &mut state));
         }
     }
 }
--- a/crates/http/src/ahead/scan.rs
+++ b/crates/http/src/ahead/scan.rs
@@ -1,96 +1,97 @@
 //! Finding the heads of requests in the bytes of a connection.
 //!
-//! A [`Scan`] follows the bytes that a caller sends, beside hyper, which reads the
-//! same ones. It must never see a request where hyper sees none: bytes of a body
-//! would then be taken for a request that nobody sent. So it gives up at the first
-//! head that it does not fully understand, for the rest of the connection; hyper
-//! goes on alone, one request at a time.
+//! A [`Scanner`] parses the bytes that a caller sends, and hyper then parses the same
+//! bytes. The scanner must never find a request where hyper finds none: bytes of a body
+//! would then be taken for a request (request smuggling). It is therefore disabled for
+//! the rest of the connection at the first head that it does not fully support, and
+//! hyper goes on alone, one request at a time.
 
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Method, Request, Uri, Version};
 
-/// Headers of one head; hyper refuses heads with more.
-const MOST_HEADERS: usize = 100;
+/// Maximum number of headers in one head; hyper rejects heads with more.
+const MAX_HEADERS: usize = 100;
 
-/// Follows the bytes of one connection.
+/// Position in the framing of one connection's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scan {
-    /// The next byte begins a head.
+pub enum Scanner {
+    /// The next byte starts a head.
     Head,
-    /// So many bytes of a body are still to come.
+    /// This many bytes of a body are still to come.
     Body(u64),
-    /// What follows is not followed.
-    GivenUp,
+    /// The remaining bytes of the connection are not scanned.
+    Disabled,
 }
 
-/// What [`Scan::step`] found.
+/// Result of [`Scanner::step`].
 #[derive(Debug)]
 pub enum Step {
-    /// Nothing whole yet.
+    /// The head is incomplete.
     Partial,
     /// A request without a body, and the length of its head.
-    Bare(Box<Request<()>>, usize),
-    /// The head of a request with a body of known length, which the scan now
-    /// skips, and the length of the head.
-    Sized(usize),
+    NoBody(Box<Request<()>>, usize),
+    /// The head of a request with a body of known length, and the length of the head. The
+    /// next steps skip the body.
+    WithBody(usize),
     /// This many bytes of a body.
     Skipped(usize),
-    /// Something that is not followed; the scan has ended.
-    GaveUp,
+    /// Framing that the scanner does not support; it is now disabled.
+    Unsupported,
 }
 
-impl Scan {
-    /// Looks at the bytes that follow what earlier steps found.
-    pub fn step(&mut self, buf: &[u8], most_head_bytes: usize) -> Step {
+impl Scanner {
+    /// Scans the bytes that follow those of earlier steps.
+    pub fn step(&mut self, buf: &[u8], max_head_bytes: usize) -> Step {
         match *self {
-            Scan::GivenUp => Step::GaveUp,
-            Scan::Body(left) => {
-                let here = left.min(buf.len() as u64);
-                *self = match left - here {
-                    0 => Scan::Head,
-                    left => Scan::Body(left),
+            Scanner::Disabled => Step::Unsupported,
+            Scanner::Body(remaining) => {
+                let available = remaining.min(buf.len() as u64);
+                *self = match remaining - available {
+                    0 => Scanner::Head,
+                    remaining => Scanner::Body(remaining),
                 };
-                Step::Skipped(here as usize)
+                Step::Skipped(available as usize)
             }
-            Scan::Head => self.head(buf, most_head_bytes),
+            Scanner::Head => self.scan_head(buf, max_head_bytes),
         }
     }
 
-    fn head(&mut self, buf: &[u8], most_head_bytes: usize) -> Step {
+    fn scan_head(&mut self, buf: &[u8], max_head_bytes: usize) -> Step {
         if buf.is_empty() {
             return Step::Partial;
         }
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
-        let found = match head.parse(buf) {
-            Ok(httparse::Status::Partial) if buf.len() < most_head_bytes => return Step::Partial,
+        let framed = match head.parse(buf) {
+            Ok(httparse::Status::Partial) if buf.len() < max_head_bytes => return Step::Partial,
             Ok(httparse::Status::Complete(len)) => framing(&head).map(|framing| (framing, len)),
             Ok(httparse::Status::Partial) | Err(_) => None,
         };
-        match found {
-            Some((Framing::Bare(req), len)) => Step::Bare(req, len),
-            Some((Framing::Sized(bytes), len)) => {
-                *self = Scan::Body(bytes);
-                Step::Sized(len)
+        match framed {
+            Some((Framing::NoBody(req), len)) => Step::NoBody(req, len),
+            Some((Framing::Length(bytes), len)) => {
+                *self = Scanner::Body(bytes);
+                Step::WithBody(len)
             }
             None => {
-                *self = Scan::GivenUp;
-                Step::GaveUp
+                *self = Scanner::Disabled;
+                Step::Unsupported
             }
         }
     }
 }
 
-/// How a request that is understood ends.
+/// Length of the body of a supported request.
 enum Framing {
-    Bare(Box<Request<()>>),
-    Sized(u64),
+    NoBody(Box<Request<()>>),
+    Length(u64),
 }
 
-/// Returns how a request ends, or `None` where only hyper is to decide that.
+/// Returns the framing of a request, or `None` if it is left to hyper.
 ///
-/// Left to hyper are chunks, protocol changes, heads that wait for an interim
-/// answer, connections that end with this request, and every doubtful length.
+/// Left to hyper are chunked bodies, protocol upgrades and tunnels, heads that wait for
+/// an interim answer, connections that close after this request, and every ambiguous
+/// length.
 fn framing(head: &httparse::Request<'_, '_>) -> Option<Framing> {
     if head.version != Some(1) {
         return None;
@@ -108,24 +109,24 @@
             header::TRANSFER_ENCODING | header::UPGRADE | header::EXPECT => return None,
             header::CONNECTION if !line.value.eq_ignore_ascii_case(b"keep-alive") => return None,
             header::CONTENT_LENGTH if length.is_some() => return None,
-            header::CONTENT_LENGTH => length = Some(digits(line.value)?),
+            header::CONTENT_LENGTH => length = Some(parse_length(line.value)?),
             _ => {}
         }
         req.headers_mut().append(name, value);
     }
     match length {
-        Some(bytes) if bytes > 0 => return Some(Framing::Sized(bytes)),
+        Some(bytes) if bytes > 0 => return Some(Framing::Length(bytes)),
         Some(_) | None => {}
     }
     *req.method_mut() = method;
     *req.uri_mut() = head.path?.parse::<Uri>().ok()?;
     *req.version_mut() = Version::HTTP_11;
-    Some(Framing::Bare(Box::new(req)))
+    Some(Framing::NoBody(Box::new(req)))
 }
 
-/// Reads a length of digits alone; signs and blanks are read differently by
-/// different parsers.
-fn digits(value: &[u8]) -> Option<u64> {
-    let all = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-    std::str::from_utf8(value).ok().filter(|_| all)?.parse().ok()
+/// Parses a length that consists of digits only; parsers differ in how they treat signs
+/// and blanks.
+fn parse_length(value: &[u8]) -> Option<u64> {
+    let only_digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+    std::str::from_utf8(value).ok().filter(|_| only_digits)?.parse().ok()
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -8,22 +8,22 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Any body that is sent.
+/// A body of a request or an answer, whatever its source.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Why a body did not arrive whole.
+/// Why a body could not be read completely.
 #[derive(Debug)]
 pub enum BodyError {
     /// The connection broke or its framing was wrong.
     Broken(String),
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     TooLong,
 }
 
 impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BodyError::Broken(why) => write!(f, "body did not arrive whole: {why}"),
+            BodyError::Broken(why) => write!(f, "body is incomplete: {why}"),
             BodyError::TooLong => write!(f, "body is too long"),
         }
     }
@@ -31,25 +31,25 @@
 
 impl std::error::Error for BodyError {}
 
-/// Returns a body of these bytes.
+/// Returns a body that consists of `buf`.
 pub fn full(buf: impl Into<Bytes>) -> Body {
     Full::new(buf.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Returns a body that keeps a value until it has ended or is dropped.
-pub fn with_guard(body: Body, value: impl Send + 'static) -> Body {
-    Tied { body, _value: value }.boxed_unsync()
+/// Returns a body that holds `guard` until the body is dropped.
+pub fn with_guard(body: Body, guard: impl Send + 'static) -> Body {
+    GuardedBody { body, _guard: guard }.boxed_unsync()
 }
 
-struct Tied<T> {
+struct GuardedBody<T> {
     body: Body,
-    _value: T,
+    _guard: T,
 }
 
-// Nothing in it is pinned: the inner body is boxed.
-impl<T> Unpin for Tied<T> {}
+// No field is pinned structurally: the inner body is boxed.
+impl<T> Unpin for GuardedBody<T> {}
 
-impl<T> HttpBody for Tied<T> {
+impl<T> HttpBody for GuardedBody<T> {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -69,26 +69,26 @@
     }
 }
 
-/// Returns a body without bytes.
+/// Returns an empty body.
 pub fn empty() -> Body {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Reads a body whole, up to a limit.
+/// Reads a complete body of at most `max_bytes`.
 ///
 /// # Errors
 ///
 /// Returns [`BodyError::TooLong`] at the first byte over the limit, and
-/// [`BodyError::Broken`] where the end never came.
-pub async fn read<B>(body: B, most: usize) -> Result<Bytes, BodyError>
+/// [`BodyError::Broken`] if the body ends early.
+pub async fn read<B>(body: B, max_bytes: usize) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(BodyError::TooLong);
     }
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(err) if err.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLong),
         Err(err) => Err(BodyError::Broken(err.to_string())),
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,8 +1,9 @@
-//! Sending requests over kept connections.
+//! Sending requests over pooled connections.
 //!
-//! A connection is used again only after the caller has read the whole answer
-//! and found it in order ([`Connection::return_to`]). Whatever else happens closes it,
-//! so that bytes of one answer can never reach the next request.
+//! A connection is reused only after the code that sent the request has read the
+//! complete answer, checked it and called [`Connection::return_to`]. In all other cases
+//! the connection is closed, so that bytes of one answer are never taken for the answer
+//! to the next request.
 
 use crate::body::{self, Body, BodyError};
 use crate::{exec, socket};
@@ -18,33 +19,34 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Time for a connection to be made.
-pub const CONNECT_TIME: Duration = Duration::from_millis(1000);
-/// Time after which an unused connection is closed. Servers of this project and
-/// of its users keep them for longer, so a request rarely meets a closing one,
-/// and an idle connection holds two buffers of 8 KB at both ends.
+/// Timeout for establishing a connection.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time after which an unused connection is closed. It is shorter than the timeout of
+/// the servers of this project and of its users, so a request is rarely sent on a
+/// connection that its server is closing. It is short since an idle connection holds
+/// two buffers of 8 KB at both ends.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Most bytes buffered for one answer; hyper's own bound is 400 KB, which a few
-/// slow readers of large answers make the largest part of a daemon's memory.
-const BUFFER_BYTES: usize = 64 << 10;
+/// Maximum bytes buffered for one answer. With hyper's default of 400 KB, a few slow
+/// readers of large answers take up the largest part of a daemon's memory.
+const MAX_BUFFER_BYTES: usize = 64 << 10;
 
-/// Why a request has no answer.
+/// Why a request has no complete answer.
 #[derive(Debug)]
 pub enum SendError {
-    /// No connection: certainly no byte of the request left.
+    /// No connection could be established: no byte of the request was sent.
     Unreached(String),
-    /// The connection was closed before the request was written: no byte left.
+    /// The connection was closed before the request was written: no byte was sent.
     NotSent,
-    /// The connection broke afterwards: the request may have been received.
+    /// The connection broke after that: the request may have been received.
     Broken(String),
-    /// The time was up afterwards: the request may have been received.
+    /// The timeout passed: the request may have been received.
     TimedOut,
-    /// The answer's body did not arrive whole.
+    /// The answer's body could not be read completely.
     Body(BodyError),
 }
 
 impl SendError {
-    /// Returns whether certainly no byte of the request reached the peer.
+    /// Returns whether it is certain that no byte of the request reached the peer.
     pub fn is_unsent(&self) -> bool {
         matches!(self, SendError::Unreached(_) | SendError::NotSent)
     }
@@ -64,64 +66,65 @@
 
 impl std::error::Error for SendError {}
 
-/// Connections kept for reuse, by address.
+/// Idle connections that are kept for reuse, by address.
 pub struct Pool {
-    per_address: usize,
-    idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
+    max_per_address: usize,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Body>,
-    until: Instant,
+    expires: Instant,
 }
 
-/// The connection that an answer comes on; dropping it closes it once the answer
-/// has ended.
+/// The connection on which an answer arrives. Dropping it closes the connection once the
+/// answer has ended.
 pub struct Connection {
     to: SocketAddr,
     sender: SendRequest<Body>,
 }
 
 impl Connection {
-    /// Puts the connection back for at most `idle`.
+    /// Returns the connection to the pool, where it may stay unused for `timeout`.
     ///
-    /// To be called when the answer has been read whole and found to belong to
-    /// its request.
-    pub fn return_to(self, pool: &Pool, idle: Duration) {
+    /// To be called only after the complete answer has been read and found to belong
+    /// to its request.
+    pub fn return_to(self, pool: &Pool, timeout: Duration) {
         if self.sender.is_closed() {
             return;
         }
-        let mut kept = pool.lock();
-        let idles = kept.entry(self.to).or_default();
-        if idles.len() < pool.per_address {
-            idles.push(Idle { sender: self.sender, until: Instant::now() + idle });
+        let mut idle = pool.lock();
+        let connections = idle.entry(self.to).or_default();
+        if connections.len() < pool.max_per_address {
+            connections
+                .push(IdleConnection { sender: self.sender, expires: Instant::now() + timeout });
         }
     }
 }
 
 impl Pool {
-    /// Makes a pool that keeps at most `per_address` connections to an address.
-    pub fn new(per_address: usize) -> Pool {
-        Pool { per_address, idle: Mutex::new(HashMap::new()) }
+    /// Creates a pool that keeps at most `max_per_address` idle connections to an address.
+    pub fn new(max_per_address: usize) -> Pool {
+        Pool { max_per_address, idle: Mutex::new(HashMap::new()) }
     }
 
-    /// Sends a request and returns the head of its answer with the connection
-    /// that the rest of it comes on.
+    /// Sends a request and returns the head of its answer, together with the
+    /// connection on which the rest of the answer arrives.
     ///
-    /// A kept connection that its peer has closed meanwhile is noticed before
-    /// the request is written, and the request goes to a new one.
+    /// If the peer has closed an idle connection, this is detected before the request
+    /// is written, and the request is sent on another connection.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError`], whose [`SendError::is_unsent`] tells whether the
-    /// request may have run.
+    /// Returns [`SendError`]; the request may have run unless [`SendError::is_unsent`]
+    /// returns true.
     pub async fn send(
         &self,
         to: SocketAddr,
         req: Request<Body>,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
         let mut req = req;
-        while let Some(mut sender) = self.take(to) {
+        while let Some(mut sender) = self.take_idle(to) {
             match sender.try_send_request(req).await {
                 Ok(answer) => return Ok((answer, Connection { to, sender })),
                 Err(mut err) => match err.take_message() {
@@ -140,67 +143,68 @@
         }
     }
 
-    /// Sends a request and reads its whole answer, within a time.
+    /// Sends a request and reads its complete answer within `timeout`.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError`] as [`Pool::send`] does, and for a body that did not
-    /// arrive whole or is over `most` bytes.
+    /// Returns [`SendError`] as [`Pool::send`] does, and also if the timeout passes or
+    /// the body is incomplete or longer than `max_bytes`.
     pub async fn exchange(
         &self,
         to: SocketAddr,
         req: Request<Body>,
-        most: usize,
-        time: Duration,
+        max_bytes: usize,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, SendError> {
-        let whole = async {
+        let round_trip = async {
             let (answer, connection) = self.send(to, req).await?;
             let (head, incoming) = answer.into_parts();
-            let buf = body::read(incoming, most).await.map_err(SendError::Body)?;
+            let buf = body::read(incoming, max_bytes).await.map_err(SendError::Body)?;
             connection.return_to(self, IDLE_TIMEOUT);
             Ok(Response::from_parts(head, buf))
         };
-        exec::timeout(time, whole).await.unwrap_or(Err(SendError::TimedOut))
+        exec::timeout(timeout, round_trip).await.unwrap_or(Err(SendError::TimedOut))
     }
 
-    /// Closes the kept connections to an address.
+    /// Closes the idle connections to an address.
     pub fn close_idle(&self, to: SocketAddr) {
         self.lock().remove(&to);
     }
 
-    /// Closes connections that were not used for their time.
+    /// Closes the connections that have stayed unused for their timeout.
     pub fn sweep(&self) {
         let now = Instant::now();
-        self.lock().retain(|_, idles| {
-            idles.retain(|idle| now < idle.until && !idle.sender.is_closed());
-            !idles.is_empty()
+        self.lock().retain(|_, connections| {
+            connections
+                .retain(|connection| now < connection.expires && !connection.sender.is_closed());
+            !connections.is_empty()
         });
     }
 
-    /// Takes the connection that was used last, so that those not needed any
-    /// more reach their time.
-    fn take(&self, to: SocketAddr) -> Option<SendRequest<Body>> {
+    /// Takes the connection that was used most recently, so that surplus connections
+    /// reach their idle timeout.
+    fn take_idle(&self, to: SocketAddr) -> Option<SendRequest<Body>> {
         let now = Instant::now();
-        let mut kept = self.lock();
-        let idles = kept.get_mut(&to)?;
-        idles.retain(|idle| now < idle.until && !idle.sender.is_closed());
-        let ready = idles.iter().rposition(|idle| idle.sender.is_ready())?;
-        Some(idles.remove(ready).sender)
+        let mut idle = self.lock();
+        let connections = idle.get_mut(&to)?;
+        connections.retain(|connection| now < connection.expires && !connection.sender.is_closed());
+        let ready = connections.iter().rposition(|connection| connection.sender.is_ready())?;
+        Some(connections.remove(ready).sender)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<Idle>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConnection>>> {
         self.idle.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
 async fn connect(to: SocketAddr) -> Result<SendRequest<Body>, SendError> {
-    let stream = exec::timeout(CONNECT_TIME, Async::<TcpStream>::connect(to))
+    let stream = exec::timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(to))
         .await
         .ok_or_else(|| SendError::Unreached("timed out".to_string()))?
         .map_err(|err| SendError::Unreached(err.to_string()))?;
-    socket::tune(stream.get_ref());
+    socket::set_options(stream.get_ref());
     let (sender, connection) = http1::Builder::new()
-        .max_buf_size(BUFFER_BYTES)
+        .max_buf_size(MAX_BUFFER_BYTES)
         .handshake(FuturesIo::new(stream))
         .await
         .map_err(|err| SendError::Unreached(err.to_string()))?;
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,10 +1,11 @@
-//! HTTP/1.1 over smol, as the daemon and its stand-ins use it.
+//! HTTP/1.1 over smol, for the daemon, its tools and its test servers.
 //!
-//! [hyper] does the protocol; this crate owns the sockets around it. [`server`]
-//! accepts with limits and stops without cutting a request; [`ahead`] lets several
-//! requests of one connection be worked on at once. [`client`] keeps
-//! connections for reuse and says of every failure whether a byte of the request
-//! may have left, because "not run" hangs on it. [`exec`] is the one executor.
+//! [hyper] implements the protocol; this crate owns the sockets around it.
+//! [`server`] accepts connections within limits and stops without cutting off
+//! requests. [`ahead`] serves several pipelined requests of one connection at the
+//! same time. [`client`] pools connections and reports for every failure whether a
+//! byte of the request may have been sent, since only an unsent request is certain
+//! not to have run. [`exec`] is the executor of the process.
 
 mod activity;
 pub mod ahead;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,7 +1,7 @@
-//! Accepting connections, within limits, until told to stop.
+//! Serving connections within limits until a stop.
 
-use crate::activity::{Activity, Busy};
-use crate::ahead::{Ahead, Io, MayOverlap, Taken};
+use crate::activity::{Activity, RequestGuard};
+use crate::ahead::{Io, MayOverlap, NextRequest, ReadAhead};
 use crate::body::{self, Body, BodyError};
 use crate::{exec, socket};
 use http_body_util::BodyExt;
@@ -21,28 +21,31 @@
 
 pub use crate::activity::IdleTimeout;
 
-/// Wait after a failed accept, which usually means no file descriptor is left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Wait after a failed accept, which usually means that the process is out of file
+/// descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time in which a request that is on its way when a stop begins is still read.
-const UNUSED_WAIT: Duration = Duration::from_millis(200);
+/// Time after the start of a connection's shutdown in which a request that is already on
+/// its way is still read.
+const LATE_REQUEST_WAIT: Duration = Duration::from_millis(200);
 
-/// Step in which a stopping connection looks whether requests begun early are left.
-const BEGUN_STEP: Duration = Duration::from_millis(20);
+/// Interval at which a connection that shuts down checks whether requests that were
+/// started early are still queued.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What one listening port takes.
+/// Limits of one listening port.
 #[derive(Clone)]
 pub struct Limits {
-    /// Connections held at once; further ones are closed.
+    /// Maximum number of open connections; further ones are closed once accepted.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request's head.
     pub head_bytes: usize,
-    /// Time for a head to arrive.
+    /// Time for a request's head to arrive.
     pub head_timeout: Duration,
-    /// How long a connection may stay without a request.
+    /// How long a connection may stay open without a request.
     pub idle_timeout: IdleTimeout,
-    /// Which requests of a connection may be worked on beside others of it; `None`
-    /// serves them one at a time.
+    /// Which requests of a connection may be handled concurrently; with `None` they are
+    /// handled one at a time.
     pub may_overlap: Option<Arc<MayOverlap>>,
 }
 
@@ -59,18 +62,18 @@
     }
 }
 
-/// Tells servers to stop; dropping it does.
+/// Stops the servers that hold its [`StopSignal`] when dropped.
 pub struct StopHandle {
     _tx: async_channel::Sender<()>,
 }
 
-/// The servers' end of a [`StopHandle`].
+/// Tells a server when its [`StopHandle`] is dropped.
 #[derive(Clone)]
 pub struct StopSignal {
     rx: async_channel::Receiver<()>,
 }
 
-/// Makes a way to stop servers.
+/// Creates a handle that stops servers, and the signal that they wait for.
 pub fn stop_channel() -> (StopHandle, StopSignal) {
     let (tx, rx) = async_channel::bounded(1);
     (StopHandle { _tx: tx }, StopSignal { rx })
@@ -83,11 +86,11 @@
     }
 }
 
-/// Serves a port until stopped, then returns when the last connection has
-/// finished its request.
+/// Serves a port until a stop, and returns when the last connection has finished its
+/// requests.
 ///
-/// The handler gets the peer's address. A connection that is idle when the stop
-/// comes is closed at once; one with a request finishes it first.
+/// The handler gets the peer's address. At a stop, idle connections are closed at once,
+/// and the others once their requests are answered.
 pub async fn serve<F, Fut>(
     listener: Async<TcpListener>,
     limits: Limits,
@@ -101,15 +104,15 @@
     let open = Arc::new(AtomicUsize::new(0));
     let (done_tx, done_rx) = async_channel::bounded::<()>(1);
     loop {
-        let accepted = smol::future::or(async { Some(listener.accept().await) }, async {
+        let accepting = smol::future::or(async { Some(listener.accept().await) }, async {
             stop.wait().await;
             None
         });
-        let (stream, peer) = match accepted.await {
+        let (stream, peer) = match accepting.await {
             None => break,
             Some(Ok(accepted)) => accepted,
             Some(Err(_)) => {
-                smol::Timer::after(ACCEPT_PAUSE).await;
+                smol::Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -120,7 +123,7 @@
         let (handler, open) = (handler.clone(), open.clone());
         let (limits, stop, done_tx) = (limits.clone(), stop.clone(), done_tx.clone());
         let task = async move {
-            connection(stream, peer, limits, stop, handler).await;
+            handle_connection(stream, peer, limits, stop, handler).await;
             open.fetch_sub(1, Ordering::Relaxed);
             drop(done_tx);
         };
@@ -130,7 +133,7 @@
     let _all_closed = done_rx.recv().await;
 }
 
-async fn connection<F, Fut>(
+async fn handle_connection<F, Fut>(
     stream: Async<TcpStream>,
     peer: SocketAddr,
     limits: Limits,
@@ -140,96 +143,98 @@
     F: Fn(SocketAddr, Request<Body>) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = Response<Body>> + Send + 'static,
 {
-    socket::tune(stream.get_ref());
-    let ahead = Ahead::new(Arc::new(stream), limits.may_overlap, limits.head_bytes);
-    let ahead = Arc::new(ahead);
+    socket::set_options(stream.get_ref());
+    let read_ahead = ReadAhead::new(Arc::new(stream), limits.may_overlap, limits.head_bytes);
+    let read_ahead = Arc::new(read_ahead);
     let activity = Arc::new(Activity::new());
-    let (of_hyper, watched, begins) = (ahead.clone(), activity.clone(), handler.clone());
+    let (service_ahead, service_activity, early_handler) =
+        (read_ahead.clone(), activity.clone(), handler.clone());
     let service = service_fn(move |req: Request<Incoming>| {
-        let busy = Busy::new(&watched);
-        // Boxed, because a connection's task is as large as the largest future
-        // in it: an idle connection would hold the room of a request.
-        Box::pin(answer(peer, req, of_hyper.clone(), handler.clone(), busy))
+        let guard = RequestGuard::new(&service_activity);
+        // Boxed, since a task is as large as its largest future: an idle connection
+        // would otherwise hold the memory that a request needs.
+        Box::pin(answer(peer, req, service_ahead.clone(), handler.clone(), guard))
     });
     let serving = http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(limits.head_timeout + limits.idle_timeout.get())
         .max_buf_size(limits.head_bytes.max(8192))
-        .serve_connection(FuturesIo::new(Io(ahead.clone())), service);
+        .serve_connection(FuturesIo::new(Io(read_ahead.clone())), service);
     let mut serving = std::pin::pin!(serving);
-    let begin = move |req| exec::spawn(begins(peer, req));
-    let caller_left = poll_fn(|cx| ahead.poll(cx, activity.is_busy(), &begin));
-    let mut caller_left = std::pin::pin!(caller_left);
+    let start_handler = move |req| exec::spawn(early_handler(peer, req));
+    let disconnected = poll_fn(|cx| read_ahead.poll(cx, activity.is_busy(), &start_handler));
+    let mut disconnected = std::pin::pin!(disconnected);
     let closed = async {
-        smol::future::or(async { drop(serving.as_mut().await) }, caller_left.as_mut()).await;
-        Over::Closed
+        smol::future::or(async { drop(serving.as_mut().await) }, disconnected.as_mut()).await;
+        ConnectionEnd::Closed
     };
-    let ending = async {
-        smol::future::or(stop.wait(), activity.idle_for(&limits.idle_timeout)).await;
-        finish_begun(&ahead).await;
-        Over::Ending
+    let draining = async {
+        smol::future::or(stop.wait(), activity.idle_timed_out(&limits.idle_timeout)).await;
+        finish_started(&read_ahead).await;
+        ConnectionEnd::Draining
     };
-    if let Over::Ending = smol::future::or(closed, ending).await {
+    if let ConnectionEnd::Draining = smol::future::or(closed, draining).await {
         serving.as_mut().graceful_shutdown();
-        let closed = smol::future::or(async { drop(serving.await) }, caller_left);
-        smol::future::or(closed, activity.unused_after(UNUSED_WAIT)).await;
+        let closed = smol::future::or(async { drop(serving.await) }, disconnected);
+        smol::future::or(closed, activity.idle_after(LATE_REQUEST_WAIT)).await;
     }
 }
 
-/// Why a connection is no longer served as usual.
-enum Over {
-    /// It is closed, or its caller has left.
+/// Why the normal operation of a connection ends.
+enum ConnectionEnd {
+    /// The connection is closed, or its caller has disconnected.
     Closed,
-    /// It is to end with the present request.
-    Ending,
+    /// The connection is to be closed after the current request.
+    Draining,
 }
 
-/// Lets the requests that were begun early be answered, and begins no more.
+/// Stops early starts, and waits until hyper has taken over the last request that was
+/// started early.
 ///
-/// Failure: a stop ends a connection with the present answer. Symptom: requests
-/// behind it, at work on upstreams, are cut off. hyper is told to end the
-/// connection only when it has come to the last of them.
-async fn finish_begun(ahead: &Ahead) {
-    ahead.stop();
-    while ahead.has_begun() {
-        smol::Timer::after(BEGUN_STEP).await;
+/// Failure: a stop closes a connection after the current answer. Symptom: requests
+/// behind it that are already running on upstreams are cut off. Graceful
+/// shutdown is therefore requested only when hyper has reached the last of them.
+async fn finish_started(read_ahead: &ReadAhead) {
+    read_ahead.stop_early_starts();
+    while read_ahead.has_started() {
+        smol::Timer::after(DRAIN_CHECK_INTERVAL).await;
     }
 }
 
-/// Answers one request that hyper has come to.
+/// Answers one request that hyper has parsed.
 async fn answer<F, Fut>(
     peer: SocketAddr,
     req: Request<Incoming>,
-    ahead: Arc<Ahead>,
+    read_ahead: Arc<ReadAhead>,
     handler: Arc<F>,
-    busy: Busy,
+    guard: RequestGuard,
 ) -> Result<Response<Body>, Infallible>
 where
     F: Fn(SocketAddr, Request<Body>) -> Fut,
     Fut: Future<Output = Response<Body>>,
 {
     let (head, incoming) = req.into_parts();
-    let mut res = match ahead.take(&head) {
-        Taken::Begun(task) => task.await,
-        Taken::New(held) => {
+    let mut res = match read_ahead.take_next(&head) {
+        NextRequest::Started(task) => task.await,
+        NextRequest::New(delay) => {
             let mut req = Request::from_parts(head, boxed(incoming));
-            if !held.is_zero() {
-                req.extensions_mut().insert(crate::ahead::PipelineDelay(held));
+            if !delay.is_zero() {
+                req.extensions_mut().insert(crate::ahead::PipelineDelay(delay));
             }
             handler(peer, req).await
         }
     };
-    if ahead.has_begun() {
+    if read_ahead.has_started() {
         keep_open(res.headers_mut());
     }
-    Ok(res.map(|body| body::with_guard(body, busy)))
+    Ok(res.map(|body| body::with_guard(body, guard)))
 }
 
-/// Takes back an answer's word that it ends the connection.
+/// Removes the `Connection` header by which an answer closes the connection.
 ///
-/// Failure: an answer ends a connection on which further requests were begun.
-/// Symptom: their callers send them again, and work that was nearly done is lost.
-/// The last of them says so in its place.
+/// Failure: an answer closes a connection on which further requests were started early.
+/// Symptom: the caller sends them again, and work that was nearly done is lost. The
+/// answer to the last of them may close the connection instead.
 fn keep_open(headers: &mut HeaderMap) {
     headers.remove(header::CONNECTION);
 }
--- a/crates/http/tests/in_flight.rs
+++ b/crates/http/tests/in_flight.rs
@@ -1,10 +1,10 @@
 //! Several requests in flight on one connection, against a server on loopback.
 //!
-//! The handler of these tests tells what it began and what was dropped before its
-//! end, and holds `/slow` until it is released, so that every order of events is
-//! made, not waited for.
+//! The handler of these tests records the requests that it started and those that were
+//! dropped before they were answered. It holds requests for `/slow` until the test
+//! releases them, so that the order of events does not depend on timing.
 
-use cicadashift_http::ahead::{MOST_AHEAD, Target};
+use cicadashift_http::ahead::{MAX_PIPELINED, Target};
 use cicadashift_http::body::{self, Body};
 use cicadashift_http::exec;
 use cicadashift_http::hyper::{Request, Response, StatusCode};
@@ -16,39 +16,40 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time within which something must happen that nothing holds up.
+/// Timeout for events that nothing delays.
 const SOON: Duration = Duration::from_secs(10);
-/// Time within which the work for a caller that left must end.
-const LEFT_BOUND: Duration = Duration::from_millis(500);
+/// Time within which the requests of a caller that disconnected must be cancelled.
+const CANCEL_BOUND: Duration = Duration::from_millis(500);
 
-/// What the handler was asked and how it ended.
+/// The paths of the requests that the handler started, and of those that were dropped
+/// before they were answered.
 #[derive(Default)]
-struct Seen {
-    begun: Vec<String>,
+struct Observed {
+    started: Vec<String>,
     dropped: Vec<String>,
 }
 
 struct Server {
     addr: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
-    news: Receiver<()>,
+    observed: Arc<Mutex<Observed>>,
+    changed: Receiver<()>,
     release: Sender<()>,
     stop: Option<StopHandle>,
     serving: smol::Task<()>,
 }
 
-/// Notes a request that ends before its answer is made.
+/// Records a request that is dropped before it is answered.
 struct Unanswered {
-    seen: Arc<Mutex<Seen>>,
-    news: Sender<()>,
+    observed: Arc<Mutex<Observed>>,
+    changed: Sender<()>,
     path: Option<String>,
 }
 
 impl Drop for Unanswered {
     fn drop(&mut self) {
         if let Some(path) = self.path.take() {
-            self.seen.lock().expect("no test panics with it").dropped.push(path);
-            let _nobody_waits = self.news.try_send(());
+            self.observed.lock().expect("the lock is not poisoned").dropped.push(path);
+            let _nobody_waits = self.changed.try_send(());
         }
     }
 }
@@ -56,56 +57,56 @@
 impl Server {
     fn start() -> Server {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port is free");
-        let addr = listener.get_ref().local_addr().expect("it is bound");
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let (news_tx, news) = unbounded();
-        let (release, held) = unbounded();
+        let addr = listener.get_ref().local_addr().expect("the listener is bound");
+        let observed = Arc::new(Mutex::new(Observed::default()));
+        let (changed_tx, changed) = unbounded();
+        let (release, released) = unbounded();
         let (stop, stopped) = stop_channel();
         let may_overlap = |target: &Target| target.method == "GET";
         let limits = Limits { may_overlap: Some(Arc::new(may_overlap)), ..Limits::default() };
-        let of_handler = seen.clone();
+        let handler_observed = observed.clone();
         let serving = exec::spawn(serve(listener, limits, stopped, move |_, req| {
-            handle(req, of_handler.clone(), news_tx.clone(), held.clone())
+            handle(req, handler_observed.clone(), changed_tx.clone(), released.clone())
         }));
-        Server { addr, seen, news, release, stop: Some(stop), serving }
+        Server { addr, observed, changed, release, stop: Some(stop), serving }
     }
 
     async fn caller(&self) -> Async<TcpStream> {
         Async::<TcpStream>::connect(self.addr).await.expect("the server listens")
     }
 
-    /// Waits until what was seen is as asked, and returns it.
-    async fn until(&self, what: &str, is: impl Fn(&Seen) -> bool) {
+    /// Waits until `condition` holds for the observed requests.
+    async fn wait_until(&self, what: &str, condition: impl Fn(&Observed) -> bool) {
         let reached = async {
-            while !is(&self.seen.lock().expect("no test panics with it")) {
-                let _more = self.news.recv().await;
+            while !condition(&self.observed.lock().expect("the lock is not poisoned")) {
+                let _more = self.changed.recv().await;
             }
         };
-        let seen = || {
-            let seen = self.seen.lock().expect("no test panics with it");
-            format!("begun {:?}, dropped {:?}", seen.begun, seen.dropped)
+        let observed = || {
+            let observed = self.observed.lock().expect("the lock is not poisoned");
+            format!("started {:?}, dropped {:?}", observed.started, observed.dropped)
         };
-        assert!(exec::timeout(SOON, reached).await.is_some(), "{what}: {}", seen());
+        assert!(exec::timeout(SOON, reached).await.is_some(), "{what}: {}", observed());
     }
 
-    fn begun(&self) -> Vec<String> {
-        self.seen.lock().expect("no test panics with it").begun.clone()
+    fn started(&self) -> Vec<String> {
+        self.observed.lock().expect("the lock is not poisoned").started.clone()
     }
 }
 
 async fn handle(
     req: Request<Body>,
-    seen: Arc<Mutex<Seen>>,
-    news: Sender<()>,
-    held: Receiver<()>,
+    observed: Arc<Mutex<Observed>>,
+    changed: Sender<()>,
+    released: Receiver<()>,
 ) -> Response<Body> {
     let path = req.uri().path().to_string();
-    seen.lock().expect("no test panics with it").begun.push(path.clone());
-    let _nobody_waits = news.try_send(());
-    let mut unanswered = Unanswered { seen, news, path: Some(path.clone()) };
+    observed.lock().expect("the lock is not poisoned").started.push(path.clone());
+    let _nobody_waits = changed.try_send(());
+    let mut unanswered = Unanswered { observed, changed, path: Some(path.clone()) };
     let sent = body::read(req.into_body(), 1 << 20).await.unwrap_or_default();
     if path.starts_with("/slow") {
-        let _released = held.recv().await;
+        let _released = released.recv().await;
     }
     unanswered.path = None;
     let mut res = Response::new(body::full(format!("[{path} {}]", sent.len())));
@@ -129,22 +130,23 @@
 }
 
 async fn send(caller: &mut Async<TcpStream>, text: &str) {
-    caller.write_all(text.as_bytes()).await.expect("the server takes it");
+    caller.write_all(text.as_bytes()).await.expect("the server reads the request");
 }
 
-/// Reads until so many answers have come, and returns their status and body.
-async fn answers(caller: &mut Async<TcpStream>, most: usize) -> Vec<String> {
+/// Reads until `count` answers have arrived or the connection ends, and returns the status
+/// and body of each.
+async fn read_answers(caller: &mut Async<TcpStream>, count: usize) -> Vec<String> {
     let mut got = String::new();
     let read = async {
         let mut chunk = [0; 4096];
-        while got.matches(']').count() < most {
+        while got.matches(']').count() < count {
             match caller.read(&mut chunk).await {
                 Ok(0) | Err(_) => break,
                 Ok(len) => got.push_str(&String::from_utf8_lossy(&chunk[..len])),
             }
         }
     };
-    assert!(exec::timeout(SOON, read).await.is_some(), "the answers so far: {got}");
+    assert!(exec::timeout(SOON, read).await.is_some(), "answers so far: {got}");
     got.split("HTTP/1.1 ")
         .skip(1)
         .map(|answer| {
@@ -155,7 +157,7 @@
         .collect()
 }
 
-/// Tells whether nothing more comes on a connection.
+/// Returns whether the server has closed a connection.
 async fn is_closed(caller: &mut Async<TcpStream>) -> bool {
     let mut chunk = [0; 64];
     let end = exec::timeout(SOON, caller.read(&mut chunk)).await;
@@ -166,89 +168,90 @@
     exec::run(2, test);
 }
 
-// A caller sends a second request before the first is answered. The first is slow;
-// the second is worked on meanwhile and its answer waits for the first one's.
+// A caller pipelines a fast request behind a slow one. The fast one is started at once,
+// and only its answer waits for the slow one's.
 #[test]
-fn a_slow_request_holds_up_only_the_order_of_answers() {
+fn a_request_behind_a_slow_one_is_started_at_once() {
     run(async {
         let server = Server::start();
         let mut caller = server.caller().await;
         send(&mut caller, &(get("/slow") + &get("/fast"))).await;
-        server.until("both begin", |seen| seen.begun.len() == 2).await;
-        server.release.send(()).await.expect("the handler holds the other end");
-        let got = answers(&mut caller, 2).await;
+        server.wait_until("both start", |observed| observed.started.len() == 2).await;
+        server.release.send(()).await.expect("the handler holds the receiver");
+        let got = read_answers(&mut caller, 2).await;
         assert_eq!(got, ["200 [/slow 0]", "200 [/fast 0]"]);
     });
 }
 
-// Failures and refusals behind a slow request come in their place. A refusal closes
-// a connection that has nothing behind it; here it would cut what was begun, so that
-// only the last answer may close.
+// Refused and failed requests behind a slow one are answered in the order of the
+// requests. The refusal asks to close the connection, which would cut off the requests
+// started behind it; only the last answer may close it.
 #[test]
-fn refused_and_failed_answers_come_in_their_place() {
+fn refused_and_failed_requests_are_answered_in_order() {
     run(async {
         let server = Server::start();
         let mut caller = server.caller().await;
         let all = ["/slow", "/refused", "/failed", "/fast"].map(get).concat();
         send(&mut caller, &all).await;
-        server.until("all begin", |seen| seen.begun.len() == 4).await;
-        server.release.send(()).await.expect("the handler holds the other end");
-        let got = answers(&mut caller, 4).await;
+        server.wait_until("all start", |observed| observed.started.len() == 4).await;
+        server.release.send(()).await.expect("the handler holds the receiver");
+        let got = read_answers(&mut caller, 4).await;
         let expected = ["200 [/slow 0]", "503 [/refused 0]", "500 [/failed 0]", "200 [/fast 0]"];
         assert_eq!(got, expected);
     });
 }
 
-// A caller leaves while three of its requests are at work, one of them in turn and
-// two ahead. All three end, so that no upstream works for nobody.
+// A caller disconnects while three of its requests are in flight, two of them started
+// early. All three are cancelled, so that no upstream works on abandoned calls.
 #[test]
-fn a_caller_that_leaves_ends_all_its_requests() {
+fn a_caller_that_disconnects_cancels_all_its_requests() {
     run(async {
         let server = Server::start();
         let mut caller = server.caller().await;
         send(&mut caller, &["/slow-1", "/slow-2", "/slow-3"].map(get).concat()).await;
-        server.until("all begin", |seen| seen.begun.len() == 3).await;
+        server.wait_until("all start", |observed| observed.started.len() == 3).await;
         drop(caller);
-        let ended = server.until("all end", |seen| seen.dropped.len() == 3);
-        assert!(exec::timeout(LEFT_BOUND, ended).await.is_some());
+        let ended = server.wait_until("all end", |observed| observed.dropped.len() == 3);
+        assert!(exec::timeout(CANCEL_BOUND, ended).await.is_some());
     });
 }
 
-// The answer to the first request closes the connection. What stands behind it is
-// sent again by its caller, whatever its kind: a request that may not run twice must
-// not have begun.
+// The answer to the first request closes the connection, and the caller sends all
+// requests behind it again. A request that may not run twice, and those behind it, must
+// therefore not have been started.
 #[test]
-fn what_may_not_run_twice_waits_for_the_answers_before_it() {
+fn a_request_that_may_not_run_twice_waits_for_the_answers_before_it() {
     run(async {
         let server = Server::start();
         let mut caller = server.caller().await;
         let all = get("/slow-closing") + &post("/once", "abc") + &get("/behind");
         send(&mut caller, &all).await;
-        server.until("the first begins", |seen| seen.begun.len() == 1).await;
-        server.release.send(()).await.expect("the handler holds the other end");
-        assert_eq!(answers(&mut caller, 3).await, ["200 [/slow-closing 0]"]);
+        server.wait_until("the first starts", |observed| observed.started.len() == 1).await;
+        server.release.send(()).await.expect("the handler holds the receiver");
+        assert_eq!(read_answers(&mut caller, 3).await, ["200 [/slow-closing 0]"]);
         assert!(is_closed(&mut caller).await);
-        assert_eq!(server.begun(), ["/slow-closing"]);
+        assert_eq!(server.started(), ["/slow-closing"]);
     });
 }
 
-// As before, but what stands behind the closing answer has begun. It is answered on
-// the same connection; the word that it closes is taken back.
+// The first answer asks to close the connection after the request behind it was started
+// early. That request is still answered on the same connection: the header that closes
+// it is removed.
 #[test]
-fn what_was_begun_is_answered_although_an_answer_before_it_closes() {
+fn a_started_request_is_answered_after_a_closing_answer() {
     run(async {
         let server = Server::start();
         let mut caller = server.caller().await;
         send(&mut caller, &(get("/slow-closing") + &get("/behind"))).await;
-        server.until("both begin", |seen| seen.begun.len() == 2).await;
-        server.release.send(()).await.expect("the handler holds the other end");
-        let got = answers(&mut caller, 2).await;
+        server.wait_until("both start", |observed| observed.started.len() == 2).await;
+        server.release.send(()).await.expect("the handler holds the receiver");
+        let got = read_answers(&mut caller, 2).await;
         assert_eq!(got, ["200 [/slow-closing 0]", "200 [/behind 0]"]);
     });
 }
 
-// A request with a body stands behind a slow one, and its body looks like a request.
-// The body is never taken for one, and what follows it is served after it.
+// Behind a slow request comes one whose body looks like a request. The body is not taken
+// for a request, and the request that follows it is served.
 #[test]
 fn a_body_is_never_taken_for_a_request() {
     run(async {
@@ -257,20 +260,20 @@
         let inner = get("/smuggled");
         let all = get("/slow") + &post("/once", &inner) + &get("/last");
         send(&mut caller, &all).await;
-        server.until("the first begins", |seen| seen.begun.len() == 1).await;
-        server.release.send(()).await.expect("the handler holds the other end");
-        let got = answers(&mut caller, 3).await;
+        server.wait_until("the first starts", |observed| observed.started.len() == 1).await;
+        server.release.send(()).await.expect("the handler holds the receiver");
+        let got = read_answers(&mut caller, 3).await;
         let once = format!("200 [/once {}]", inner.len());
         assert_eq!(got, ["200 [/slow 0]", &once, "200 [/last 0]"]);
-        assert_eq!(server.begun(), ["/slow", "/once", "/last"]);
+        assert_eq!(server.started(), ["/slow", "/once", "/last"]);
     });
 }
 
-// Behind a good request comes one whose length is doubtful, with a body that looks
-// like a request. hyper answers or ends the connection when it comes to it; nothing
-// in the body becomes a request, neither early nor later.
+// Behind a valid request comes one whose length is invalid or ambiguous, with a body that
+// looks like a request. hyper answers it or closes the connection when it reaches it.
+// Nothing in the body becomes a request, neither early nor later.
 #[test]
-fn doubtful_framing_behind_a_good_request_never_becomes_a_request() {
+fn ambiguous_framing_never_smuggles_a_request() {
     run(async {
         let smuggled = get("/smuggled");
         let cases = [
@@ -289,10 +292,10 @@
             let mut caller = server.caller().await;
             let bad = format!("POST /bad HTTP/1.1\r\nhost: m\r\n{lines}\r\n\r\n{body}{smuggled}");
             send(&mut caller, &(get("/slow") + &bad)).await;
-            server.until("the first begins", |seen| seen.begun.len() == 1).await;
-            server.release.send(()).await.expect("the handler holds the other end");
-            let got = answers(&mut caller, 3).await;
-            let smuggled = server.begun().iter().any(|path| path == "/smuggled");
+            server.wait_until("the first starts", |observed| observed.started.len() == 1).await;
+            server.release.send(()).await.expect("the handler holds the receiver");
+            let got = read_answers(&mut caller, 3).await;
+            let smuggled = server.started().iter().any(|path| path == "/smuggled");
             out.push_str(&format!("{name}: {got:?} smuggled={smuggled}\n"));
             assert!(!smuggled, "{name}");
         }
@@ -310,52 +313,57 @@
     });
 }
 
-// A planned stop comes while a slow request and one behind it are at work. Both are
-// answered, then the connection closes; a third that comes after the stop has not
-// begun, and its caller sends it elsewhere.
+// A planned stop begins while a slow request and one started behind it are in flight.
+// Both are answered, and then the connection closes. A third request that arrived after
+// the stop would not be started, and its caller would send it elsewhere; the test sends
+// none.
 #[test]
-fn a_stop_lets_what_was_begun_be_answered() {
+fn a_stop_lets_started_requests_be_answered() {
     run(async {
         let mut server = Server::start();
         let mut caller = server.caller().await;
         send(&mut caller, &(get("/slow") + &get("/slow-2"))).await;
-        server.until("both begin", |seen| seen.begun.len() == 2).await;
+        server.wait_until("both start", |observed| observed.started.len() == 2).await;
         drop(server.stop.take());
-        server.release.send(()).await.expect("the handler holds the other end");
-        server.release.send(()).await.expect("the handler holds the other end");
-        assert_eq!(answers(&mut caller, 2).await, ["200 [/slow 0]", "200 [/slow-2 0]"]);
+        server.release.send(()).await.expect("the handler holds the receiver");
+        server.release.send(()).await.expect("the handler holds the receiver");
+        assert_eq!(read_answers(&mut caller, 2).await, ["200 [/slow 0]", "200 [/slow-2 0]"]);
         assert!(is_closed(&mut caller).await);
         assert!(exec::timeout(SOON, &mut server.serving).await.is_some(), "the server ends");
     });
 }
 
-// A caller writes a thousand requests and reads nothing. Only a bounded number of
-// them is at work, and another caller is served meanwhile.
+// A caller writes a thousand requests and reads no answer. Only a bounded number of them
+// is started, and another caller is served meanwhile.
 #[test]
-fn a_caller_that_only_writes_gets_a_bounded_share() {
+fn a_caller_that_only_writes_starts_a_bounded_number_of_requests() {
     run(async {
         let server = Server::start();
         let caller = server.caller().await;
         let mut writing = caller;
         let all = get("/slow").repeat(1000);
         let writer = exec::spawn(async move {
-            let _cut_at_the_end = writing.write_all(all.as_bytes()).await;
+            let _cancelled = writing.write_all(all.as_bytes()).await;
             writing
         });
-        server.until("the window fills", |seen| seen.begun.len() == 1 + MOST_AHEAD).await;
+        server
+            .wait_until("the read-ahead queue is full", |observed| {
+                observed.started.len() == 1 + MAX_PIPELINED
+            })
+            .await;
         let mut other = server.caller().await;
         send(&mut other, &get("/other")).await;
-        assert_eq!(answers(&mut other, 1).await, ["200 [/other 0]"]);
-        assert_eq!(server.begun().len(), 2 + MOST_AHEAD);
+        assert_eq!(read_answers(&mut other, 1).await, ["200 [/other 0]"]);
+        assert_eq!(server.started().len(), 2 + MAX_PIPELINED);
         drop(writer);
     });
 }
 
-// The bytes of a series of requests arrive cut at every place, and in random pieces.
-// Whatever the pieces, the answers are those of the plain model: each request once,
-// in order, with the length of its own body.
+// The bytes of a series of requests arrive split at each offset, and in random pieces.
+// The answers do not depend on the split: each request is answered once, in order, with
+// the length of its own body.
 #[test]
-fn pieces_do_not_change_what_is_answered() {
+fn splitting_the_bytes_does_not_change_the_answers() {
     run(async {
         let server = Server::start();
         let series = get("/a") + &get("/b") + &post("/c", "12345") + &get("/d");
@@ -364,7 +372,7 @@
             let mut caller = server.caller().await;
             send(&mut caller, &series[..cut]).await;
             send(&mut caller, &series[cut..]).await;
-            assert_eq!(answers(&mut caller, 4).await, expected, "cut at {cut}");
+            assert_eq!(read_answers(&mut caller, 4).await, expected, "cut at {cut}");
         }
         for seed in 0..60 {
             let mut rng = fastrand::Rng::with_seed(seed);
@@ -376,25 +384,25 @@
                 send(&mut caller, &left[..len]).await;
                 left = &left[len..];
             }
-            assert_eq!(answers(&mut caller, expected.len()).await, expected, "seed {seed}");
+            assert_eq!(read_answers(&mut caller, expected.len()).await, expected, "seed {seed}");
         }
     });
 }
 
-// A head is longer than what is read ahead. hyper reads it by itself, and requests
-// behind it are served one at a time.
+// A head is longer than the read-ahead buffer. hyper reads it without the scanner, and
+// the requests behind it are served one at a time.
 #[test]
-fn a_head_longer_than_the_window_is_served() {
+fn a_head_longer_than_the_read_ahead_buffer_is_served() {
     run(async {
         let server = Server::start();
         let mut caller = server.caller().await;
         let long = format!("GET /long HTTP/1.1\r\nhost: m\r\nx: {}\r\n\r\n", "y".repeat(24 << 10));
         send(&mut caller, &(long + &get("/behind"))).await;
-        assert_eq!(answers(&mut caller, 2).await, ["200 [/long 0]", "200 [/behind 0]"]);
+        assert_eq!(read_answers(&mut caller, 2).await, ["200 [/long 0]", "200 [/behind 0]"]);
     });
 }
 
-/// Makes a series of requests and the answers that the plain model gives.
+/// Returns a random series of requests and the answers expected for it.
 fn random_series(rng: &mut fastrand::Rng) -> (String, Vec<String>) {
     let mut text = String::new();
     let mut expected = Vec::new();
