--- a/src/daemon/request/work.rs
+++ b/src/daemon/request/work.rs
@@ -4,7 +4,7 @@
 use cicadashift_core::ids::CallDigest;
 use cicadashift_core::request::choose::Demand;
 use cicadashift_core::request::gate::KindKey;
-use cicadashift_http::ahead::Turn;
+use cicadashift_http::ahead::AnswerTurn;
 use cicadashift_http::hyper::http::request::Parts;
 use std::sync::Arc;
 use std::time::Instant;
@@ -49,7 +49,7 @@
     pub head: Parts,
     /// Tells when its answer may be sent, if earlier requests of its connection are still
     /// unanswered.
-    pub turn: Option<Turn>,
+    pub turn: Option<AnswerTurn>,
 }
 
 impl RoutedCall {
