--- a/crates/edge/src/interface.rs
+++ b/crates/edge/src/interface.rs
@@ -150,20 +150,20 @@
     /// # Errors
     ///
     /// Returns what is wrong with it.
-    fn order(&self, buf: &[u8], revision: Revision) -> Result<Order, Malformed>;
+    fn decode_order(&self, buf: &[u8], revision: Revision) -> Result<Order, Malformed>;
 
     /// Returns the key of what the operator reads of a service's rollout.
     fn rollout_status_key(&self, service: &str) -> String;
 
     /// Encodes what the operator reads of a rollout.
-    fn rollout_status(&self, status: &RolloutStatus) -> Vec<u8>;
+    fn encode_rollout_status(&self, status: &RolloutStatus) -> Vec<u8>;
 
     /// Decodes a configuration.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with it; nothing is repaired.
-    fn document(&self, buf: &[u8]) -> Result<Document, Malformed>;
+    fn decode_document(&self, buf: &[u8]) -> Result<Document, Malformed>;
 
     /// Decodes a call of an upstream, or returns `None` where the path is not
     /// one for such calls.
@@ -171,8 +171,12 @@
     /// # Errors
     ///
     /// Returns what is wrong with the call's body.
-    fn report(&self, method: &Method, path: &str, body: &[u8])
-    -> Result<Option<Report>, Malformed>;
+    fn decode_report(
+        &self,
+        method: &Method,
+        path: &str,
+        body: &[u8],
+    ) -> Result<Option<Report>, Malformed>;
 
     /// Returns whether a path asks if the daemon takes work.
     fn is_readiness_path(&self, path: &str) -> bool;
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -23,48 +23,48 @@
     /// Its id at the platform.
     pub id: i64,
     /// How long it lasts without a keep-alive.
-    pub time: Duration,
+    pub ttl: Duration,
     /// The store's era in which it was granted; it ends with it.
     pub era: u64,
 }
 
 /// What a compare-and-swap did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Swap {
+pub enum ConditionalWrite {
     /// The value was written.
-    Done,
+    Applied,
     /// The key had changed; nothing was written.
-    Lost,
+    Rejected,
 }
 
 /// Why a call to the platform has no result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformError {
     /// It certainly did not take effect.
-    NotDone(String),
+    NotApplied(String),
     /// The answer was lost; a write may have taken effect.
     Unknown(String),
     /// The platform is over its rate; come back later.
-    TooMany,
+    RateLimited,
     /// It answered with something that is not its protocol.
     Protocol(String),
     /// The platform came back from a copy: what was read before may be gone.
     Restored { era: u64 },
     /// No address of the platform is set.
-    Unset,
+    NoAddress,
 }
 
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlatformError::NotDone(why) => write!(f, "the platform cannot be reached: {why}"),
+            PlatformError::NotApplied(why) => write!(f, "the platform cannot be reached: {why}"),
             PlatformError::Unknown(why) => write!(f, "the platform's answer was lost: {why}"),
-            PlatformError::TooMany => write!(f, "the platform refuses calls over its rate"),
+            PlatformError::RateLimited => write!(f, "the platform refuses calls over its rate"),
             PlatformError::Protocol(why) => write!(f, "the platform's answer is wrong: {why}"),
             PlatformError::Restored { era } => {
                 write!(f, "the platform came back from a copy, in era {era}")
             }
-            PlatformError::Unset => write!(
+            PlatformError::NoAddress => write!(
                 f,
                 "no address of the platform is set; name it with --platform or $CICADASHIFT_PLATFORM"
             ),
@@ -75,7 +75,7 @@
 impl std::error::Error for PlatformError {}
 
 /// Calls to the platform; each is one call in its count.
-pub trait Platform: Send + Sync {
+pub trait KeyValueStore: Send + Sync {
     /// A running watch.
     type Watch: Watch;
 
@@ -97,7 +97,7 @@
 
     /// Reads all keys with a prefix as they were some seconds ago at most, where that
     /// costs the platform less.
-    fn list_maybe_old(
+    fn list_allow_stale(
         &self,
         prefix: &str,
     ) -> impl Future<Output = Result<Vec<Pair>, PlatformError>> + Send {
@@ -114,25 +114,25 @@
     fn delete_unchanged(
         &self,
         pairs: &[(String, Revision)],
-    ) -> impl Future<Output = Result<Swap, PlatformError>> + Send;
+    ) -> impl Future<Output = Result<ConditionalWrite, PlatformError>> + Send;
 
     /// Writes a key if it last changed at `expected`, under a lease if given.
-    fn swap(
+    fn compare_and_swap(
         &self,
         key: &str,
         expected: Revision,
         value: &[u8],
         lease: Option<Lease>,
-    ) -> impl Future<Output = Result<Swap, PlatformError>> + Send;
+    ) -> impl Future<Output = Result<ConditionalWrite, PlatformError>> + Send;
 
-    /// Writes a key under a lease, whatever it held; [`Swap::Lost`] where the
+    /// Writes a key under a lease, whatever it held; [`ConditionalWrite::Rejected`] where the
     /// lease has ended.
     fn put_leased(
         &self,
         key: &str,
         value: &[u8],
         lease: Lease,
-    ) -> impl Future<Output = Result<Swap, PlatformError>> + Send;
+    ) -> impl Future<Output = Result<ConditionalWrite, PlatformError>> + Send;
 
     /// Asks for a lease.
     fn grant(&self, time: Duration) -> impl Future<Output = Result<Lease, PlatformError>> + Send;
--- a/crates/measure/src/baseline.rs
+++ b/crates/measure/src/baseline.rs
@@ -4,7 +4,7 @@
 use crate::stats::Times;
 use cicadashift::clock::{Clock, SystemClock};
 use cicadashift::store::etcd::Etcd;
-use cicadashift::store::{Change, Platform, Watch, keys};
+use cicadashift::store::{Change, KeyValueStore, Watch, keys};
 use cicadashift_core::config::manifest::{self, ConfigPage, Root};
 use cicadashift_core::delivery::head::Head;
 use cicadashift_core::delivery::store::Store;
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -42,7 +42,7 @@
 pub const LOAD: &str = "cicadashift-load";
 /// On answers between daemons: calls in a thousand that the upstream takes of those
 /// sent to it.
-pub const ACCEPTS: &str = "cicadashift-accepts";
+pub const ACCEPT_RATIO: &str = "cicadashift-accepts";
 /// On an upstream's answer: calls a second that it takes from all hosts together.
 pub const LIMIT: &str = "cicadashift-limit";
 /// On an upstream's answer: it takes no new calls.
@@ -82,9 +82,11 @@
     pub objective_ms: u32,
     /// Milliseconds for which the link of the exit daemon's host may be busy for a
     /// large answer to be taken on.
-    pub link_most_ms: u32,
+    #[serde(rename = "link_most_ms")]
+    pub max_link_backlog_ms: u32,
     /// Milliseconds that it may be expected to wait for a slot.
-    pub wait_most_ms: u32,
+    #[serde(rename = "wait_most_ms")]
+    pub max_slot_wait_ms: u32,
     /// Names what it asks for, whatever its id.
     pub digest: CallDigest,
     /// From its route.
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -23,13 +23,15 @@
     pub active: Version,
     /// Whether the sender follows the store itself, so that `active` is what the
     /// store has.
-    pub follows: bool,
+    #[serde(rename = "follows")]
+    pub follows_store: bool,
     /// Digest of the sender's table.
     pub digest: u64,
     /// News that rides along.
     pub records: Vec<Record>,
     /// Summary of the calls that the sender suspects of ending upstreams.
-    pub suspects: u64,
+    #[serde(rename = "suspects")]
+    pub suspicions_summary: u64,
     /// News of such calls.
     pub suspicions: Vec<Suspicion>,
     /// What the sender saw of limits that the receiver keeps.
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -34,7 +34,7 @@
 /// Who holds the root of `base` makes the new root out of it and checks its hash;
 /// who does not fetches the root. It saves two exchanges per host and change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct ManifestDelta {
     /// Root that the slots change; absent where there is none to build on.
     pub base: Option<ObjectHash>,
     /// Positions in the root, as `Root::slots` counts them, with what is there now.
@@ -47,7 +47,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
     /// Hold this version, and pass it on to `rest`.
-    Offer { what: VersionRef, origin: HostKey, news: News, rest: Vec<HostKey> },
+    Offer {
+        #[serde(rename = "what")]
+        version_ref: VersionRef,
+        origin: HostKey,
+        #[serde(rename = "news")]
+        delta: ManifestDelta,
+        rest: Vec<HostKey>,
+    },
     /// Send these objects as far as they are held.
     Fetch { hashes: Vec<ObjectHash> },
     /// Promise this version as a witness.
@@ -55,12 +62,17 @@
     /// Tell the fresh daemon `host` in its life `life` what it must not go below.
     Floor { host: HostKey, life: Incarnation },
     /// This version is safe to run; pass it on to `rest`.
-    Activate { what: VersionRef, rest: Vec<HostKey> },
+    Activate {
+        #[serde(rename = "what")]
+        version_ref: VersionRef,
+        rest: Vec<HostKey>,
+    },
     /// Send what my table lacks; this is its outline, and these are records that you
     /// may lack.
     Sync { outline: Vec<(HostKey, u64)>, records: Vec<Record> },
     /// These are records that you asked for.
-    Tell { records: Vec<Record> },
+    #[serde(rename = "Tell")]
+    PushRecords { records: Vec<Record> },
     /// Between failure domains: what changed since `since`, and what I know.
     Exchange {
         from: HostKey,
@@ -89,7 +101,7 @@
 
 /// How one host fared with an offer or activation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum DeliveryResult {
     /// Holds or runs the version.
     Done,
     /// Found it bad.
@@ -102,7 +114,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
     /// To `Offer` and `Activate`: one row for each host below.
-    Fates(Vec<(HostKey, Fate)>),
+    #[serde(rename = "Fates")]
+    DeliveryResults(Vec<(HostKey, DeliveryResult)>),
     /// To `Fetch`: those of the objects that are held.
     Objects(Vec<(ObjectHash, ByteBuf)>),
     /// To `Promise` and `Floor`: what the witness says, if it may speak.
@@ -150,7 +163,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpdateBody {
     /// All of it.
-    Whole(ByteBuf),
+    #[serde(rename = "Whole")]
+    Complete(ByteBuf),
     /// What differs from the version that the member holds.
     Changed(Delta),
 }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -91,7 +91,7 @@
                 }
                 eprintln!("error: {err}");
                 match err {
-                    OperatorError::Platform(PlatformError::Unset) => MISUSE,
+                    OperatorError::Platform(PlatformError::NoAddress) => MISUSE,
                     _ => NOT_DONE,
                 }
             }
--- a/src/daemon/catch_up.rs
+++ b/src/daemon/catch_up.rs
@@ -2,7 +2,7 @@
 
 use super::sources::{self, ObjectSource, active_version_of, readers_of_other_domains};
 use super::{Daemon, peers, reader, stage};
-use crate::store::{Platform, keys};
+use crate::store::{KeyValueStore, keys};
 use cicadashift_core::delivery::node::Event;
 use cicadashift_core::delivery::stage::Scope;
 use cicadashift_core::ids::HostKey;
@@ -80,7 +80,7 @@
     if records.is_empty() {
         return true;
     }
-    match peers::ask(d, to, &Ask::Tell { records }, ASK_TIME).await {
+    match peers::ask(d, to, &Ask::PushRecords { records }, ASK_TIME).await {
         Ok(_) => true,
         Err(err) => {
             log::debug!("{to} was not told what it lacks: {err}");
--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -13,7 +13,7 @@
 //! and not with the number of daemons.
 
 use super::{Daemon, catch_up, lock};
-use crate::store::{Lease, Pair, Platform, PlatformError, Swap, keys};
+use crate::store::{ConditionalWrite, KeyValueStore, Lease, Pair, PlatformError, keys};
 use cicadashift_http::exec;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -204,7 +204,7 @@
     /// Reads the entries and compares tables with unknown daemons among them, those of
     /// the own failure domain first; returns whether this daemon's own entry is listed.
     async fn read_entries(&mut self, d: &Arc<Daemon>) -> Result<bool, PlatformError> {
-        let pairs = d.store.list_maybe_old(keys::DAEMONS).await?;
+        let pairs = d.store.list_allow_stale(keys::DAEMONS).await?;
         let own_key = keys::daemon(&d.settings.host);
         let is_own_listed = pairs.iter().any(|pair| pair.key == own_key);
         let others = pairs.iter().filter(|pair| pair.key != own_key).filter_map(decode);
@@ -273,7 +273,7 @@
         let key = keys::daemon(&d.settings.host);
         let swap = d.store.put_leased(&key, &buf, lease).await?;
         self.written = Some(d.clock.now());
-        Ok((swap == Swap::Done).then_some(lease))
+        Ok((swap == ConditionalWrite::Applied).then_some(lease))
     }
 }
 
--- a/src/daemon/document.rs
+++ b/src/daemon/document.rs
@@ -114,7 +114,7 @@
         }
         let body = match old {
             Some(old) => UpdateBody::Changed(Delta::between(&old, &text)),
-            None => UpdateBody::Whole(ByteBuf::from(text.to_vec())),
+            None => UpdateBody::Complete(ByteBuf::from(text.to_vec())),
         };
         Some(Update { version, revision, body })
     }
--- a/src/daemon/garbage.rs
+++ b/src/daemon/garbage.rs
@@ -1,7 +1,7 @@
 //! Deleting objects of the platform that nobody needs any more.
 
 use super::Daemon;
-use crate::store::{Platform, PlatformError, keys};
+use crate::store::{KeyValueStore, PlatformError, keys};
 use cicadashift_core::delivery::garbage::Sweep;
 use cicadashift_core::ids::{ObjectHash, Revision};
 use std::sync::Arc;
--- a/src/daemon/gateway.rs
+++ b/src/daemon/gateway.rs
@@ -7,7 +7,7 @@
 
 use super::sources::ObjectSource;
 use super::{Daemon, lock, peers, promotion, quarantine};
-use crate::store::{Platform, keys};
+use crate::store::{KeyValueStore, keys};
 use cicadashift_core::ids::{HostKey, Incarnation};
 use cicadashift_core::membership::record::Record;
 use cicadashift_core::membership::table::JournalPos;
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -142,10 +142,10 @@
         from: host,
         kind,
         active,
-        follows,
+        follows_store,
         digest,
         records,
-        suspects,
+        suspicions_summary,
         suspicions,
         usages,
         grants,
@@ -162,7 +162,7 @@
         send_datagram(d, (host, from), Kind::News, Piggyback { grants, ..Piggyback::default() })
             .await;
     }
-    if follows {
+    if follows_store {
         d.versions.document.record_heartbeat(host, active, d.clock.now());
     }
     if !records.is_empty() {
@@ -181,7 +181,7 @@
             match d.settings.interface {
                 InterfaceKind::Own => catch_up::behind(&d, host).await,
                 InterfaceKind::Platform => {
-                    source::update_from_member(&d, host, active, follows).await
+                    source::update_from_member(&d, host, active, follows_store).await
                 }
             }
         })
@@ -206,7 +206,7 @@
     }
     if matches!(kind, Kind::Ping | Kind::Ack) {
         check_digest(d, digest, from, sync);
-        if suspects != d.quarantine.summary(d.clock.now()) {
+        if suspicions_summary != d.quarantine.summary(d.clock.now()) {
             quarantine::compare_if_due(d, from);
         }
     }
--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -47,10 +47,10 @@
 
 async fn answer(d: &Arc<Daemon>, message: Ask) -> Response {
     match message {
-        Ask::Offer { what, origin, news, rest } => {
-            promotion::on_offer(d, what, origin, news, rest).await
+        Ask::Offer { version_ref, origin, delta, rest } => {
+            promotion::on_offer(d, version_ref, origin, delta, rest).await
         }
-        Ask::Activate { what, rest } => promotion::on_activate(d, what, rest).await,
+        Ask::Activate { version_ref, rest } => promotion::on_activate(d, version_ref, rest).await,
         Ask::Fetch { hashes } => stage::on_fetch(d, &hashes),
         Ask::Promise { version } => Response::Testimony(testify(d, Event::PromiseAsked(version))),
         Ask::Floor { host, life } => {
@@ -60,7 +60,7 @@
             d.members.apply(d, records);
             catch_up::compared(d, &outline)
         }
-        Ask::Tell { records } => {
+        Ask::PushRecords { records } => {
             d.members.apply(d, records);
             Response::Done
         }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -62,7 +62,7 @@
 use cicadashift_http::hyper::{Request, Response};
 use cicadashift_http::server::{self, Idle, Stop, Stopped};
 use cicadashift_http::{exec, server::Limits};
-use cicadashift_platform::Platform as PlatformAdapter;
+use cicadashift_platform::PlatformAdapter;
 use cicadashift_wire::call;
 use cicadashift_wire::seal::MeshKey;
 use eyre::WrapErr;
@@ -426,7 +426,7 @@
     /// own interface, whose configurations are made of objects.
     pub fn decode_document(&self, buf: &[u8]) -> Result<Document, Malformed> {
         match &self.platform_adapter {
-            Some(adapter) => adapter.document(buf),
+            Some(adapter) => adapter.decode_document(buf),
             None => {
                 Err(Malformed::Syntax("this interface has no configuration documents".to_string()))
             }
--- a/src/daemon/peers.rs
+++ b/src/daemon/peers.rs
@@ -78,7 +78,7 @@
 
 fn purpose(ask: &Ask) -> Purpose {
     match ask {
-        Ask::Sync { .. } | Ask::Tell { .. } => Purpose::Table,
+        Ask::Sync { .. } | Ask::PushRecords { .. } => Purpose::Table,
         Ask::Document { .. } => Purpose::Version,
         Ask::Current => Purpose::Probe,
         _ => Purpose::Control,
--- a/src/daemon/promotion.rs
+++ b/src/daemon/promotion.rs
@@ -10,7 +10,7 @@
 use cicadashift_core::delivery::tree::{self, Branch, FANOUT};
 use cicadashift_core::ids::{HostKey, Version};
 use cicadashift_http::exec;
-use cicadashift_wire::rpc::{Fate, News, Request as Ask, Response, VersionRef};
+use cicadashift_wire::rpc::{DeliveryResult, ManifestDelta, Request as Ask, Response, VersionRef};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -32,31 +32,31 @@
 /// Returns why the version cannot be held here; nothing was offered then.
 pub async fn run(
     d: &Arc<Daemon>,
-    what: VersionRef,
+    version_ref: VersionRef,
     source: &ObjectSource,
 ) -> Result<(), StageError> {
-    let mut draft = RowDraft::new(d, what);
-    stage::hold(d, what, source, Scope::Whole).await?;
+    let mut draft = RowDraft::new(d, version_ref);
+    stage::hold(d, version_ref, source, Scope::Whole).await?;
     let mut others = d.members.others();
-    tree::order(&mut others, what.version);
-    log::info!("version {}: offered to {} members", what.version, others.len());
-    let mut promotion = Promotion::new(what.version, others.iter().copied(), d.clock.now());
-    let news = d.versions.manifest_delta(what);
-    let offer = |rest| Ask::Offer { what, origin: d.me, news: news.clone(), rest };
+    tree::order(&mut others, version_ref.version);
+    log::info!("version {}: offered to {} members", version_ref.version, others.len());
+    let mut promotion = Promotion::new(version_ref.version, others.iter().copied(), d.clock.now());
+    let delta = d.versions.manifest_delta(version_ref);
+    let offer = |rest| Ask::Offer { version_ref, origin: d.me, delta: delta.clone(), rest };
     let fates = spread(d, &others, offer, 2 * RELAY_TIME).await;
     for (host, fate) in fates {
         match fate {
-            Fate::Done => promotion.held(host),
-            Fate::Refused(why) => promotion.refused(host, why),
-            Fate::Late => promotion.lost(host),
+            DeliveryResult::Done => promotion.held(host),
+            DeliveryResult::Refused(why) => promotion.refused(host, why),
+            DeliveryResult::Late => promotion.lost(host),
         }
     }
     draft.staged(d, &others, &promotion);
     match promotion.step(d.clock.now()) {
-        Step::Withhold => withhold(d, what.version, &promotion),
+        Step::Withhold => withhold(d, version_ref.version, &promotion),
         Step::AskPromises | Step::WaitUntil(_) => {
-            if promised(d, what.version).await {
-                activate(d, what, &others, &mut draft).await;
+            if promised(d, version_ref.version).await {
+                activate(d, version_ref, &others, &mut draft).await;
             }
         }
     }
@@ -67,38 +67,38 @@
 /// Answers an offer: holds the version, passes it on, tells how all fared.
 pub async fn on_offer(
     d: &Arc<Daemon>,
-    what: VersionRef,
+    version_ref: VersionRef,
     origin: HostKey,
-    news: News,
+    delta: ManifestDelta,
     rest: Vec<HostKey>,
 ) -> Response {
-    d.versions.apply_manifest_delta(what, &news);
-    let own = hold_offered(d, what, origin).await;
-    let offer = |rest| Ask::Offer { what, origin, news: news.clone(), rest };
+    d.versions.apply_manifest_delta(version_ref, &delta);
+    let own = hold_offered(d, version_ref, origin).await;
+    let offer = |rest| Ask::Offer { version_ref, origin, delta: delta.clone(), rest };
     let mut fates = spread(d, &rest, offer, RELAY_TIME).await;
     fates.push((d.me, own));
-    Response::Fates(fates)
+    Response::DeliveryResults(fates)
 }
 
 /// Answers an activation: runs the version, passes it on, tells how all fared.
-pub async fn on_activate(d: &Arc<Daemon>, what: VersionRef, rest: Vec<HostKey>) -> Response {
-    d.versions.add_version_ref(what);
-    let actions = d.versions.on(Event::Activated(what.version));
+pub async fn on_activate(d: &Arc<Daemon>, version_ref: VersionRef, rest: Vec<HostKey>) -> Response {
+    d.versions.add_version_ref(version_ref);
+    let actions = d.versions.on(Event::Activated(version_ref.version));
     stage::perform(d, actions, None);
-    let mut fates = spread(d, &rest, |rest| Ask::Activate { what, rest }, RELAY_TIME).await;
-    fates.push((d.me, ran(d, what.version)));
-    Response::Fates(fates)
+    let mut fates = spread(d, &rest, |rest| Ask::Activate { version_ref, rest }, RELAY_TIME).await;
+    fates.push((d.me, ran(d, version_ref.version)));
+    Response::DeliveryResults(fates)
 }
 
-async fn hold_offered(d: &Arc<Daemon>, what: VersionRef, origin: HostKey) -> Fate {
-    d.versions.add_version_ref(what);
+async fn hold_offered(d: &Arc<Daemon>, version_ref: VersionRef, origin: HostKey) -> DeliveryResult {
+    d.versions.add_version_ref(version_ref);
     // The origin holds the version whole; the relay in between may lack what
     // only this proxy selects.
     let source = ObjectSource::Peers(d.members.address(origin).into_iter().collect());
-    match stage::hold(d, what, &source, Scope::Selected).await {
-        Ok(()) => Fate::Done,
-        Err(err) if err.is_bad() => Fate::Refused(err.to_string()),
-        Err(_) => Fate::Late,
+    match stage::hold(d, version_ref, &source, Scope::Selected).await {
+        Ok(()) => DeliveryResult::Done,
+        Err(err) if err.is_bad() => DeliveryResult::Refused(err.to_string()),
+        Err(_) => DeliveryResult::Late,
     }
 }
 
@@ -128,15 +128,20 @@
     false
 }
 
-async fn activate(d: &Arc<Daemon>, what: VersionRef, others: &[HostKey], draft: &mut RowDraft) {
-    let fates = spread(d, others, |rest| Ask::Activate { what, rest }, 2 * RELAY_TIME).await;
+async fn activate(
+    d: &Arc<Daemon>,
+    version_ref: VersionRef,
+    others: &[HostKey],
+    draft: &mut RowDraft,
+) {
+    let fates = spread(d, others, |rest| Ask::Activate { version_ref, rest }, 2 * RELAY_TIME).await;
     draft.activated(d, &fates);
 }
 
-fn ran(d: &Daemon, version: Version) -> Fate {
+fn ran(d: &Daemon, version: Version) -> DeliveryResult {
     match d.versions.running_version() >= version {
-        true => Fate::Done,
-        false => Fate::Late,
+        true => DeliveryResult::Done,
+        false => DeliveryResult::Late,
     }
 }
 
@@ -146,7 +151,7 @@
     hosts: &[HostKey],
     message: impl Fn(Vec<HostKey>) -> Ask,
     time: Duration,
-) -> Vec<(HostKey, Fate)> {
+) -> Vec<(HostKey, DeliveryResult)> {
     let tasks: Vec<_> = tree::branches(hosts, FANOUT)
         .into_iter()
         .map(|branch| {
@@ -167,7 +172,12 @@
 /// Failure: a relay has died and nobody knows yet. Symptom: all below it miss
 /// the message until they notice by themselves. Each host of the branch is tried
 /// in turn as its head, so one dead relay delays its branch by one time-out.
-async fn send(d: &Arc<Daemon>, branch: Branch, ask: Ask, time: Duration) -> Vec<(HostKey, Fate)> {
+async fn send(
+    d: &Arc<Daemon>,
+    branch: Branch,
+    ask: Ask,
+    time: Duration,
+) -> Vec<(HostKey, DeliveryResult)> {
     let mut fates = Vec::new();
     let mut branch = branch;
     loop {
@@ -175,11 +185,11 @@
             Some(to) => peers::ask(d, to, &with_rest(&ask, &branch.rest), time).await.ok(),
             None => None,
         };
-        if let Some(Response::Fates(below)) = answer {
+        if let Some(Response::DeliveryResults(below)) = answer {
             fates.extend(below);
             return fates;
         }
-        fates.push((branch.child, Fate::Late));
+        fates.push((branch.child, DeliveryResult::Late));
         let Some((next, rest)) = branch.rest.split_first() else { return fates };
         branch = Branch { child: *next, rest: rest.to_vec() };
     }
@@ -188,10 +198,10 @@
 fn with_rest(ask: &Ask, rest: &[HostKey]) -> Ask {
     let rest = rest.to_vec();
     match ask {
-        Ask::Offer { what, origin, news, .. } => {
-            Ask::Offer { what: *what, origin: *origin, news: news.clone(), rest }
+        Ask::Offer { version_ref, origin, delta, .. } => {
+            Ask::Offer { version_ref: *version_ref, origin: *origin, delta: delta.clone(), rest }
         }
-        Ask::Activate { what, .. } => Ask::Activate { what: *what, rest },
+        Ask::Activate { version_ref, .. } => Ask::Activate { version_ref: *version_ref, rest },
         other => other.clone(),
     }
 }
--- a/src/daemon/quarantine.rs
+++ b/src/daemon/quarantine.rs
@@ -12,7 +12,7 @@
 //! receives an update for the first time sends it to seven daemons, twice.
 
 use super::{Daemon, datagrams, lock, peers};
-use crate::store::{Platform, PlatformError, Swap, keys};
+use crate::store::{ConditionalWrite, KeyValueStore, PlatformError, keys};
 use cicadashift_core::ids::{CallDigest, IncarnationKey};
 use cicadashift_core::membership::gossip::Queue;
 use cicadashift_core::request::suspects::{QuarantineState, Review, Suspects, Suspicion};
@@ -251,7 +251,7 @@
     let is_current = d.follows_store.load(Ordering::Relaxed);
     let pairs = match is_current {
         true => d.store.list(keys::QUARANTINE, false).await?,
-        false => d.store.list_maybe_old(keys::QUARANTINE).await?,
+        false => d.store.list_allow_stale(keys::QUARANTINE).await?,
     };
     let decoded = pairs.iter().filter_map(|pair| {
         let suspicion = rpc::decode::<Suspicion>(&pair.value);
@@ -266,8 +266,10 @@
     let lease = d.store.grant(STORE_TTL).await?;
     let key = keys::quarantine(suspicion.call);
     match d.store.put_leased(&key, &rpc::encode(suspicion), lease).await? {
-        Swap::Done => Ok(()),
-        Swap::Lost => Err(PlatformError::NotDone("the lease has ended".to_string())),
+        ConditionalWrite::Applied => Ok(()),
+        ConditionalWrite::Rejected => {
+            Err(PlatformError::NotApplied("the lease has ended".to_string()))
+        }
     }
 }
 
--- a/src/daemon/reader.rs
+++ b/src/daemon/reader.rs
@@ -8,7 +8,9 @@
 use super::promotion;
 use super::sources::ObjectSource;
 use super::{Daemon, lock};
-use crate::store::{Change, Lease, Pair, Platform, PlatformError, Revision, Swap, Watch, keys};
+use crate::store::{
+    Change, ConditionalWrite, KeyValueStore, Lease, Pair, PlatformError, Revision, Watch, keys,
+};
 use cicadashift_core::delivery::head::Head;
 use cicadashift_core::delivery::node::Event;
 use cicadashift_core::ids::{HostKey, ObjectHash, Version};
@@ -159,9 +161,11 @@
         return Ok(());
     }
     let lease = d.store.grant(LEASE_TIME).await?;
-    let swapped =
-        d.store.swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease)).await;
-    if swapped != Ok(Swap::Done) {
+    let swapped = d
+        .store
+        .compare_and_swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease))
+        .await;
+    if swapped != Ok(ConditionalWrite::Applied) {
         // A lost answer counts as lost: the lease is given up, and with it the
         // key, whoever has it.
         let _ends_anyway = d.store.revoke(lease).await;
--- a/src/daemon/record.rs
+++ b/src/daemon/record.rs
@@ -6,10 +6,10 @@
 //! there once.
 
 use super::{Daemon, lock, peers};
-use crate::store::{Platform, keys};
+use crate::store::{KeyValueStore, keys};
 use cicadashift_core::delivery::promotion::Promotion;
 use cicadashift_core::ids::{HostKey, Version};
-use cicadashift_wire::rpc::{Fate, RecordRow, Request as Ask, VersionRef};
+use cicadashift_wire::rpc::{DeliveryResult, RecordRow, Request as Ask, VersionRef};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -73,8 +73,8 @@
     }
 
     /// Notes how the activation went.
-    pub fn activated(&mut self, d: &Daemon, fates: &[(HostKey, Fate)]) {
-        for (host, _) in fates.iter().filter(|(_, fate)| *fate != Fate::Done) {
+    pub fn activated(&mut self, d: &Daemon, fates: &[(HostKey, DeliveryResult)]) {
+        for (host, _) in fates.iter().filter(|(_, fate)| *fate != DeliveryResult::Done) {
             let name = name(d, *host);
             if !self.row.late.iter().any(|(late, _)| *late == name) {
                 self.row.late.push((name, "did not run it in time".to_string()));
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -84,7 +84,7 @@
         priority: cx.priority,
         caller: CallerKey(cx.caller),
         kind,
-        max_wait: Duration::from_millis(u64::from(cx.wait_most_ms)),
+        max_wait: Duration::from_millis(u64::from(cx.max_slot_wait_ms)),
     };
     let pass = match local.admit(arrival, &d.clock).await {
         Ok(pass) => pass,
@@ -145,7 +145,7 @@
     let link = lock(link);
     let Some(bytes) = link.large_size(KindKey(cx.call_kind)) else { return Ok(Duration::ZERO) };
     let time_left = Duration::from_millis(u64::from(cx.objective_ms));
-    let max_backlog = Duration::from_millis(u64::from(cx.link_most_ms));
+    let max_backlog = Duration::from_millis(u64::from(cx.max_link_backlog_ms));
     link.admit_answer(LargeAnswer { bytes, service_time, time_left, max_backlog }, now)
 }
 
@@ -303,7 +303,7 @@
     headers::set(head, call::LOAD, &(load.running + load.queued).to_string());
     let now = d.clock.now();
     let accepted_per_thousand = local.acceptance_rate(now) * 1e3;
-    headers::set(head, call::ACCEPTS, &(accepted_per_thousand.round() as u64).to_string());
+    headers::set(head, call::ACCEPT_RATIO, &(accepted_per_thousand.round() as u64).to_string());
     if let Some((limit, next_token)) = local.schedule_retry(now) {
         headers::set(head, call::LIMIT_THOUSANDTHS, &limit.thousandths().to_string());
         headers::set(head, call::NEXT_TOKEN_MS, &next_token.as_millis().to_string());
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -201,7 +201,7 @@
 fn decode_report(head: &HeaderMap) -> LoadReport {
     LoadReport {
         load: headers::number(head, call::LOAD).map(|load| load as u16),
-        accept_ratio: headers::number(head, call::ACCEPTS)
+        accept_ratio: headers::number(head, call::ACCEPT_RATIO)
             .map(|accepted| accepted.min(1000) as f64 / 1e3),
         next_token: headers::number(head, call::NEXT_TOKEN_MS).map(Duration::from_millis),
     }
@@ -223,8 +223,8 @@
         instance: target.instance.clone(),
         deadline_ms: ms(left),
         objective_ms: ms(work.objective.saturating_duration_since(now)),
-        link_most_ms: ms(options.max_link_backlog),
-        wait_most_ms: ms(options.max_slot_wait),
+        max_link_backlog_ms: ms(options.max_link_backlog),
+        max_slot_wait_ms: ms(options.max_slot_wait),
         priority: work.priority,
         caller: work.caller,
         call_kind: work.kind,
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -13,7 +13,7 @@
 
 use super::work::Work;
 use crate::daemon::{Daemon, quarantine};
-use crate::store::{Lease, Platform, PlatformError, Revision, Swap, keys};
+use crate::store::{ConditionalWrite, KeyValueStore, Lease, PlatformError, Revision, keys};
 use cicadashift_core::request::jitter;
 use cicadashift_core::request::suspects::{QuarantineState, Review};
 use cicadashift_http::exec;
@@ -148,9 +148,9 @@
 async fn acquire_key(d: &Arc<Daemon>) -> Result<Option<Trial>, PlatformError> {
     let lease = d.store.grant(KEY_TTL).await?;
     let holder = d.settings.host.as_bytes();
-    match d.store.swap(keys::TRIAL, Revision::ABSENT, holder, Some(lease)).await {
-        Ok(Swap::Done) => Ok(Some(Trial { d: d.clone(), lease })),
-        Ok(Swap::Lost) => {
+    match d.store.compare_and_swap(keys::TRIAL, Revision::ABSENT, holder, Some(lease)).await {
+        Ok(ConditionalWrite::Applied) => Ok(Some(Trial { d: d.clone(), lease })),
+        Ok(ConditionalWrite::Rejected) => {
             release_lease(d, lease);
             Ok(None)
         }
--- a/src/daemon/rollouts/decider.rs
+++ b/src/daemon/rollouts/decider.rs
@@ -8,7 +8,7 @@
 //! the decider, is refused.
 
 use crate::daemon::{Daemon, lock};
-use crate::store::{Lease, Platform, PlatformError, Revision, Swap, keys};
+use crate::store::{ConditionalWrite, KeyValueStore, Lease, PlatformError, Revision, keys};
 use cicadashift_core::membership::record::Record;
 use cicadashift_core::rollout::account::{Account, Bounds};
 use cicadashift_core::rollout::decide::{Decider, Proposal, Why};
@@ -184,9 +184,13 @@
     }
     let lease = d.store.grant(LEASE_TTL).await?;
     let now = d.clock.now();
-    match d.store.swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease)).await {
-        Ok(Swap::Done) => {}
-        Ok(Swap::Lost) => return d.store.revoke(lease).await,
+    match d
+        .store
+        .compare_and_swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease))
+        .await
+    {
+        Ok(ConditionalWrite::Applied) => {}
+        Ok(ConditionalWrite::Rejected) => return d.store.revoke(lease).await,
         Err(err) => {
             let _lease_expires_anyway = d.store.revoke(lease).await;
             return Err(err);
@@ -314,7 +318,9 @@
     }
     let lease = d.store.grant(LEASE_TTL).await?;
     let (key, holder) = (keys::decider(service), d.settings.host.as_bytes());
-    if d.store.swap(&key, Revision::ABSENT, holder, Some(lease)).await? == Swap::Lost {
+    if d.store.compare_and_swap(&key, Revision::ABSENT, holder, Some(lease)).await?
+        == ConditionalWrite::Rejected
+    {
         d.store.revoke(lease).await?;
         return Ok(false);
     }
@@ -360,7 +366,7 @@
     let Some((stored, revision)) = stored_after(d, service, &proposal) else { return Ok(()) };
     let key = keys::rollout(service);
     let value = rpc::encode(&stored);
-    let swap = d.store.swap(&key, revision, &value, None).await;
+    let swap = d.store.compare_and_swap(&key, revision, &value, None).await;
     if let Err(err) = &swap {
         log::info!("rollout of {service}: reading back whether the step was written: {err}");
     }
@@ -456,15 +462,17 @@
     let key = hosted.rollout_status_key(&order.service);
     let status =
         RolloutStatus { service: order.service.clone(), target: order.target.clone(), state };
-    let value = hosted.rollout_status(&status);
+    let value = hosted.encode_rollout_status(&status);
     let stored = d.store.get(&key).await?;
     if stored.as_ref().is_some_and(|pair| pair.value == value && pair.revision > order.revision) {
         return Ok(());
     }
     let revision = stored.map_or(Revision::ABSENT, |pair| pair.revision);
-    match d.store.swap(&key, revision, &value, None).await? {
-        Swap::Done => Ok(()),
-        Swap::Lost => Err(PlatformError::NotDone("the status was written meanwhile".to_string())),
+    match d.store.compare_and_swap(&key, revision, &value, None).await? {
+        ConditionalWrite::Applied => Ok(()),
+        ConditionalWrite::Rejected => {
+            Err(PlatformError::NotApplied("the status was written meanwhile".to_string()))
+        }
     }
 }
 
--- a/src/daemon/rollouts/mod.rs
+++ b/src/daemon/rollouts/mod.rs
@@ -166,7 +166,7 @@
     }
 
     fn decode(&self, d: &Daemon, pair: &Pair) -> Option<Order> {
-        let decoded = d.platform_adapter.as_ref()?.order(&pair.value, pair.revision);
+        let decoded = d.platform_adapter.as_ref()?.decode_order(&pair.value, pair.revision);
         let order = decoded
             .inspect_err(|err| log::warn!("{}: invalid rollout order: {err}", pair.key))
             .ok()?;
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -12,7 +12,7 @@
 use super::peers::MeshError;
 use super::versions::RunningConfig;
 use super::{Daemon, datagrams, peers};
-use crate::store::{Change, ClientWatch, Pair, Platform, PlatformError, Revision, Watch};
+use crate::store::{Change, ClientWatch, KeyValueStore, Pair, PlatformError, Revision, Watch};
 use bytes::Bytes;
 use cicadashift_core::config::Invalid;
 use cicadashift_core::config::compile::RoutingTable;
@@ -285,7 +285,7 @@
         return Ok(());
     }
     match update.body {
-        UpdateBody::Whole(text) => {
+        UpdateBody::Complete(text) => {
             log::info!("version {version} comes whole from {to}, which lacks {held}");
             install_text(d, Bytes::from(text.into_vec()), revision, "member");
         }
--- a/src/daemon/stage.rs
+++ b/src/daemon/stage.rs
@@ -3,7 +3,7 @@
 use super::costs::Purpose;
 use super::sources::{self, ObjectSource};
 use super::{Daemon, peers, versions::Versions};
-use crate::store::{Platform, PlatformError, keys};
+use crate::store::{KeyValueStore, PlatformError, keys};
 use cicadashift_core::delivery::node::{Action, Event};
 use cicadashift_core::delivery::stage::{Bad, Next, Scope, Staged};
 use cicadashift_core::delivery::store::Rejected;
--- a/src/daemon/upstreams.rs
+++ b/src/daemon/upstreams.rs
@@ -51,7 +51,7 @@
         return headers::plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n");
     };
     if let Some(hosted) = &d.platform_adapter {
-        match hosted.report(&head.method, head.uri.path(), &buf) {
+        match hosted.decode_report(&head.method, head.uri.path(), &buf) {
             Ok(Some(report)) => return apply_report(&d, report),
             Ok(None) => {}
             Err(err) => return reject_report(&d, &err),
--- a/src/daemon/versions.rs
+++ b/src/daemon/versions.rs
@@ -13,7 +13,7 @@
 use cicadashift_core::delivery::witness::Panel;
 use cicadashift_core::ids::{HostKey, Incarnation, ObjectHash, Version};
 use cicadashift_edge::store::Revision;
-use cicadashift_wire::rpc::{News, VersionRef};
+use cicadashift_wire::rpc::{ManifestDelta, VersionRef};
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, RwLock};
@@ -244,7 +244,7 @@
 
     /// Returns what changed in a version since the one before it that is known here;
     /// empty if the root of either is not held.
-    pub fn manifest_delta(&self, version_ref: VersionRef) -> News {
+    pub fn manifest_delta(&self, version_ref: VersionRef) -> ManifestDelta {
         let inner = lock(&self.inner);
         let previous = inner
             .refs
@@ -253,18 +253,18 @@
             .map(|(_, version_ref)| version_ref.root);
         let base = previous.and_then(|base| Some((base, inner.root(base)?)));
         let (Some((base, old)), Some(new)) = (base, inner.root(version_ref.root)) else {
-            return News::default();
+            return ManifestDelta::default();
         };
         let slots = new.changes_since(&old);
         let pages = slots.iter().filter_map(|(_, hash)| inner.store.get(*hash));
         let small = pages.filter(|buf| buf.len() <= MAX_DELTA_PAGE);
         let pages = small.map(|buf| ByteBuf::from(buf.as_ref().clone())).collect();
-        News { base: Some(base), slots, pages }
+        ManifestDelta { base: Some(base), slots, pages }
     }
 
     /// Stores the root and pages that a delta sent with an offer contains. Where the
     /// delta does not apply it is ignored, and the objects are fetched instead.
-    pub fn apply_manifest_delta(&self, version_ref: VersionRef, delta: &News) {
+    pub fn apply_manifest_delta(&self, version_ref: VersionRef, delta: &ManifestDelta) {
         let mut inner = lock(&self.inner);
         let Some(old) = delta.base.and_then(|base| inner.root(base)) else { return };
         let root = manifest::encode(&old.with_changes(version_ref.version, &delta.slots));
--- a/src/operator/change.rs
+++ b/src/operator/change.rs
@@ -2,7 +2,7 @@
 
 use super::OperatorError;
 use crate::daemon::reader::Roster;
-use crate::store::{Platform, PlatformError, Revision, Swap, keys};
+use crate::store::{ConditionalWrite, KeyValueStore, PlatformError, Revision, keys};
 use cicadashift_core::config::manifest::{
     self, ConfigEntry, ConfigPage, LabelPage, Manifest, Object, Root, SelectorPage,
 };
@@ -38,7 +38,7 @@
 ///
 /// Returns [`OperatorError`] where the platform does not answer or a page is
 /// missing.
-pub async fn snapshot(platform: &impl Platform) -> Result<Snapshot, OperatorError> {
+pub async fn snapshot(platform: &impl KeyValueStore) -> Result<Snapshot, OperatorError> {
     let Some(pair) = platform.get(keys::HEAD).await? else { return Ok(Snapshot::default()) };
     let head: Head = serde_json::from_slice(&pair.value)
         .map_err(|_| OperatorError::Damaged("head".to_string()))?;
@@ -65,7 +65,7 @@
 /// # Errors
 ///
 /// Returns [`OperatorError::NotFound`] where there is none with this id.
-pub async fn text(platform: &impl Platform, id: &str) -> Result<Vec<u8>, OperatorError> {
+pub async fn text(platform: &impl KeyValueStore, id: &str) -> Result<Vec<u8>, OperatorError> {
     let snapshot = snapshot(platform).await?;
     let missing = || OperatorError::NotFound(format!("configuration {id:?}"));
     let entry = snapshot.manifest.configs.get(id).ok_or_else(missing)?;
@@ -81,7 +81,7 @@
 /// # Errors
 ///
 /// Returns the platform's error.
-pub async fn services(platform: &impl Platform) -> Result<BTreeSet<String>, OperatorError> {
+pub async fn services(platform: &impl KeyValueStore) -> Result<BTreeSet<String>, OperatorError> {
     let pairs = platform.list(keys::ROSTERS, false).await?;
     let rosters =
         pairs.iter().filter_map(|pair| serde_json::from_slice::<Roster>(&pair.value).ok());
@@ -131,7 +131,7 @@
 /// Only [`cicadashift_core::delivery::head::Refused::Unsettled`] and a platform
 /// whose answers stay lost leave that open, and say so.
 pub async fn commit(
-    platform: &impl Platform,
+    platform: &impl KeyValueStore,
     op: &Operation,
     extra: Option<Object>,
     wall_ms: u64,
@@ -164,7 +164,7 @@
 /// Objects go first: a crash in between leaves objects that nobody names, which
 /// readers collect by age, and never a head that names what is not there.
 async fn attempt_once(
-    platform: &impl Platform,
+    platform: &impl KeyValueStore,
     op: &Operation,
     extra: &Option<Object>,
     now: &Snapshot,
@@ -190,15 +190,15 @@
     platform.put_many(&pairs).await?;
     let head = now.head.successor(op_id, root_hash, wall_ms);
     let buf = serde_json::to_vec(&head).map_err(|err| OperatorError::Damaged(err.to_string()))?;
-    match platform.swap(keys::HEAD, now.revision, &buf, None).await? {
-        Swap::Done => Ok(Some(version)),
-        Swap::Lost => Ok(None),
+    match platform.compare_and_swap(keys::HEAD, now.revision, &buf, None).await? {
+        ConditionalWrite::Applied => Ok(Some(version)),
+        ConditionalWrite::Rejected => Ok(None),
     }
 }
 
 /// Reads the newest version, also through a short outage: an operation whose
 /// answer was lost must be settled if that is possible at all.
-async fn snapshot_patiently(platform: &impl Platform) -> Result<Snapshot, OperatorError> {
+async fn snapshot_patiently(platform: &impl KeyValueStore) -> Result<Snapshot, OperatorError> {
     let mut last = Err(OperatorError::Busy(0));
     for attempt in 0..ATTEMPTS {
         last = snapshot(platform).await;
@@ -224,11 +224,11 @@
 }
 
 fn may_pass(err: &PlatformError) -> bool {
-    !matches!(err, PlatformError::Unset | PlatformError::Protocol(_))
+    !matches!(err, PlatformError::NoAddress | PlatformError::Protocol(_))
 }
 
 async fn fetch(
-    platform: &impl Platform,
+    platform: &impl KeyValueStore,
     hashes: &[ObjectHash],
 ) -> Result<BTreeMap<ObjectHash, Vec<u8>>, OperatorError> {
     let names: Vec<String> = hashes.iter().map(|hash| keys::object(*hash)).collect();
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -49,7 +49,9 @@
             }
             OperatorError::File { path, why } => write!(f, "{path}: {why}"),
             OperatorError::Refused(refused) => write!(f, "{refused}"),
-            OperatorError::Platform(PlatformError::Unset) => write!(f, "{}", PlatformError::Unset),
+            OperatorError::Platform(PlatformError::NoAddress) => {
+                write!(f, "{}", PlatformError::NoAddress)
+            }
             OperatorError::Platform(err) => {
                 write!(f, "{err}; nothing more was tried, run the command again when it is back")
             }
--- a/src/operator/record.rs
+++ b/src/operator/record.rs
@@ -2,7 +2,7 @@
 
 use super::OperatorError;
 use crate::daemon::record::quarter_of;
-use crate::store::{Platform, keys};
+use crate::store::{KeyValueStore, keys};
 use cicadashift_wire::rpc::RecordRow;
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -39,7 +39,7 @@
 ///
 /// Returns the platform's error.
 pub async fn rows(
-    platform: &impl Platform,
+    platform: &impl KeyValueStore,
     quarter: &str,
 ) -> Result<Vec<RecordRow>, OperatorError> {
     let pairs = platform.list(&format!("{}{quarter}/", keys::RECORDS), false).await?;
--- a/src/store/etcd.rs
+++ b/src/store/etcd.rs
@@ -4,7 +4,7 @@
 //! reads or writes go into one transaction, so that a change costs the platform
 //! a fixed number of calls.
 
-use super::{Change, Lease, Pair, Platform, PlatformError, Revision, Swap, Watch};
+use super::{Change, ConditionalWrite, KeyValueStore, Lease, Pair, PlatformError, Revision, Watch};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
@@ -47,7 +47,7 @@
         let res = result.map_err(|err| self.failed(err))?;
         match res.status() {
             StatusCode::OK => {}
-            StatusCode::TOO_MANY_REQUESTS => return Err(PlatformError::TooMany),
+            StatusCode::TOO_MANY_REQUESTS => return Err(PlatformError::RateLimited),
             status => return Err(self.failed_with(format!("status {status}"))),
         }
         serde_json::from_slice(res.body()).map_err(|err| PlatformError::Protocol(err.to_string()))
@@ -56,7 +56,7 @@
     fn addr(&self) -> Result<SocketAddr, PlatformError> {
         let count = self.addrs.len();
         if count == 0 {
-            return Err(PlatformError::Unset);
+            return Err(PlatformError::NoAddress);
         }
         Ok(self.addrs[self.preferred.load(Ordering::Relaxed) % count])
     }
@@ -64,14 +64,14 @@
     fn failed(&self, err: SendError) -> PlatformError {
         self.preferred.fetch_add(1, Ordering::Relaxed);
         match err.is_unsent() {
-            true => PlatformError::NotDone(err.to_string()),
+            true => PlatformError::NotApplied(err.to_string()),
             false => PlatformError::Unknown(err.to_string()),
         }
     }
 
     fn failed_with(&self, why: String) -> PlatformError {
         self.preferred.fetch_add(1, Ordering::Relaxed);
-        PlatformError::NotDone(why)
+        PlatformError::NotApplied(why)
     }
 
     async fn txn(&self, ask: Value) -> Result<Value, PlatformError> {
@@ -79,7 +79,7 @@
     }
 }
 
-impl Platform for Etcd {
+impl KeyValueStore for Etcd {
     type Watch = EtcdWatch;
 
     async fn get(&self, key: &str) -> Result<Option<Pair>, PlatformError> {
@@ -114,7 +114,10 @@
         self.txn(json!({"success": writes})).await.map(drop)
     }
 
-    async fn delete_unchanged(&self, pairs: &[(String, Revision)]) -> Result<Swap, PlatformError> {
+    async fn delete_unchanged(
+        &self,
+        pairs: &[(String, Revision)],
+    ) -> Result<ConditionalWrite, PlatformError> {
         let compares: Vec<Value> =
             pairs.iter().map(|(key, revision)| unchanged(key, *revision)).collect();
         let deletes: Vec<Value> = pairs
@@ -125,18 +128,18 @@
         Ok(swapped(&result))
     }
 
-    async fn swap(
+    async fn compare_and_swap(
         &self,
         key: &str,
         expected: Revision,
         value: &[u8],
         lease: Option<Lease>,
-    ) -> Result<Swap, PlatformError> {
+    ) -> Result<ConditionalWrite, PlatformError> {
         let compare = unchanged(key, expected);
         let ask = json!({"compare": [compare], "success": [put(key, value, lease)]});
         let result = self.txn(ask).await?;
         if !result["responses"][0]["error"].is_null() {
-            return Ok(Swap::Lost);
+            return Ok(ConditionalWrite::Rejected);
         }
         Ok(swapped(&result))
     }
@@ -146,7 +149,7 @@
         key: &str,
         value: &[u8],
         lease: Lease,
-    ) -> Result<Swap, PlatformError> {
+    ) -> Result<ConditionalWrite, PlatformError> {
         let result = self.txn(json!({"success": [put(key, value, Some(lease))]})).await?;
         Ok(swapped(&result))
     }
@@ -156,7 +159,7 @@
         let result = self.call("/v3/lease/grant", ask).await?;
         let id = number(&result["ID"])?;
         let seconds = number(&result["TTL"])?;
-        Ok(Lease { id, time: Duration::from_secs(seconds.max(0) as u64), era: 0 })
+        Ok(Lease { id, ttl: Duration::from_secs(seconds.max(0) as u64), era: 0 })
     }
 
     async fn keep_alive(&self, lease: Lease) -> Result<bool, PlatformError> {
@@ -227,8 +230,8 @@
                         return Ok(data);
                     }
                 }
-                Some(Err(err)) => return Err(PlatformError::NotDone(err.to_string())),
-                None => return Err(PlatformError::NotDone("watch ended".to_string())),
+                Some(Err(err)) => return Err(PlatformError::NotApplied(err.to_string())),
+                None => return Err(PlatformError::NotApplied("watch ended".to_string())),
             }
         }
     }
@@ -259,7 +262,7 @@
         .header("host", "platform")
         .header("content-type", "application/json")
         .body(body::full(ask.to_string()))
-        .map_err(|err| PlatformError::NotDone(err.to_string()))
+        .map_err(|err| PlatformError::NotApplied(err.to_string()))
 }
 
 fn put(key: &str, value: &[u8], lease: Option<Lease>) -> Value {
@@ -277,10 +280,10 @@
     })
 }
 
-fn swapped(result: &Value) -> Swap {
+fn swapped(result: &Value) -> ConditionalWrite {
     match result["succeeded"].as_bool().unwrap_or(false) {
-        true => Swap::Done,
-        false => Swap::Lost,
+        true => ConditionalWrite::Applied,
+        false => ConditionalWrite::Rejected,
     }
 }
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -4,7 +4,7 @@
 pub mod keys;
 
 pub use cicadashift_edge::store::{
-    Change, Lease, Pair, Platform, PlatformError, Revision, Swap, Watch,
+    Change, ConditionalWrite, KeyValueStore, Lease, Pair, PlatformError, Revision, Watch,
 };
 use cicadashift_platform::store::{Store as Hosted, StoreWatch as HostedWatch};
 use etcd::{Etcd, EtcdWatch};
@@ -127,7 +127,7 @@
     }};
 }
 
-impl Platform for Client {
+impl KeyValueStore for Client {
     type Watch = ClientWatch;
 
     async fn get(&self, key: &str) -> Result<Option<Pair>, PlatformError> {
@@ -142,26 +142,29 @@
         forward!(self, Read, store => store.list(prefix, keys_only).await)
     }
 
-    async fn list_maybe_old(&self, prefix: &str) -> Result<Vec<Pair>, PlatformError> {
-        forward!(self, OldRead, store => store.list_maybe_old(prefix).await)
+    async fn list_allow_stale(&self, prefix: &str) -> Result<Vec<Pair>, PlatformError> {
+        forward!(self, OldRead, store => store.list_allow_stale(prefix).await)
     }
 
     async fn put_many(&self, pairs: &[(String, Vec<u8>)]) -> Result<(), PlatformError> {
         forward!(self, Write, store => store.put_many(pairs).await)
     }
 
-    async fn delete_unchanged(&self, pairs: &[(String, Revision)]) -> Result<Swap, PlatformError> {
+    async fn delete_unchanged(
+        &self,
+        pairs: &[(String, Revision)],
+    ) -> Result<ConditionalWrite, PlatformError> {
         forward!(self, Write, store => store.delete_unchanged(pairs).await)
     }
 
-    async fn swap(
+    async fn compare_and_swap(
         &self,
         key: &str,
         expected: Revision,
         value: &[u8],
         lease: Option<Lease>,
-    ) -> Result<Swap, PlatformError> {
-        forward!(self, Write, store => store.swap(key, expected, value, lease).await)
+    ) -> Result<ConditionalWrite, PlatformError> {
+        forward!(self, Write, store => store.compare_and_swap(key, expected, value, lease).await)
     }
 
     async fn put_leased(
@@ -169,7 +172,7 @@
         key: &str,
         value: &[u8],
         lease: Lease,
-    ) -> Result<Swap, PlatformError> {
+    ) -> Result<ConditionalWrite, PlatformError> {
         forward!(self, Write, store => store.put_leased(key, value, lease).await)
     }
 
--- a/tests/store_client.rs
+++ b/tests/store_client.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cicadashift_edge::store::{Change, Platform, Watch};
+use cicadashift_edge::store::{Change, KeyValueStore, Watch};
 use cicadashift_platform::store::Store as Client;
 use cicadashift_testkit::hosted::store::Store;
 use common::run;
