--- a/crates/edge/src/interface.rs
+++ b/crates/edge/src/interface.rs
@@ -1,4 +1,4 @@
-//! The form in which callers, upstreams and operators speak.
+//! The protocol towards callers, upstreams and operators.
 
 use cicadashift_core::config::{Config, Selector};
 use cicadashift_core::ids::{Revision, Version};
@@ -11,28 +11,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names of the headers that callers and upstreams use.
+/// Names of the headers that callers and upstreams use, and variations of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dialect {
-    /// Names a call; the same towards caller and upstream.
+    /// Id of a call; the same header towards callers and upstreams.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender will wait.
+    /// Milliseconds that the sender waits for the answer.
     pub deadline_ms: HeaderName,
-    /// Tells the upstream on whose host the call began.
+    /// Tells the upstream on which service's host the call began.
     pub caller_service: Option<HeaderName>,
     /// Tells the upstream which organisation sent the call.
     pub organisation: HeaderName,
-    /// Tells the upstream which instance is meant; another one must refuse.
+    /// Tells the upstream which instance the call is for; another instance must refuse it.
     pub expected_instance: Option<HeaderName>,
     /// On an upstream's answer: it did not run the call.
     pub not_run: HeaderName,
-    /// On an upstream's answer: calls running, waiting, and slots, in this order.
+    /// On an upstream's answer: calls running, calls queued, and slots, in this order.
     pub load: Option<HeaderName>,
-    /// On an upstream's answer: calls a second that it takes from all hosts together.
+    /// On an upstream's answer: calls per second that it accepts from all hosts together.
     pub limit: HeaderName,
-    /// On an upstream's answer: it leaves and takes no new calls.
+    /// On an upstream's answer: it is leaving and takes no new calls.
     pub leaving: HeaderName,
-    /// On an upstream's refusal: which instance it is.
+    /// On an upstream's refusal: the id of the instance that refused.
     pub instance: Option<HeaderName>,
     /// Whether upstreams repeat the request id in their answers. An answer with
     /// another id belongs to another call.
@@ -41,57 +41,58 @@
     pub fractional_retry_after: bool,
 }
 
-/// What an upstream tells of itself.
+/// A heartbeat of an upstream, with its properties and state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// The instance's name.
+    /// Id of the instance.
     pub instance: String,
-    /// When it started, in Unix milliseconds by its own clock, to tell apart starts
-    /// under one name; zero where it does not tell.
+    /// When it started, in Unix milliseconds by its own clock, to tell apart incarnations
+    /// with the same id; zero where it does not report it.
     pub start: u64,
     /// The service that it serves.
     pub service: String,
-    /// Version of its software; empty where it does not tell.
+    /// Version of its software; empty where it does not report it.
     pub version: String,
-    /// Where it serves.
+    /// Address on which it accepts calls.
     pub address: SocketAddr,
-    /// Calls that it runs at once.
+    /// Number of calls that it runs at once.
     pub slots: u16,
-    /// Whether it takes work.
+    /// Whether it takes calls.
     pub readiness: Readiness,
-    /// Rises with each report of this instance, so that a late one is known.
+    /// Increases with each report of this instance, so that a report that arrives late is
+    /// recognised.
     pub sequence: u64,
-    /// How much longer it stays slow after its start.
+    /// How much longer it stays slow after its start (cold).
     pub cold_for: Duration,
 }
 
-/// A call of an upstream about itself.
+/// A report of an upstream about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
-    /// It runs.
+    /// It is running.
     Announce(Announcement),
-    /// It takes no more work and will end; `start` as in [`Announcement`], zero for
-    /// whichever start is known.
+    /// It takes no more calls and will end. `start` is as in [`Announcement`]; zero means
+    /// the incarnation that is known to the daemon.
     Leave { instance: String, start: u64 },
 }
 
-/// One whole version of the configuration.
+/// A complete version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
-    /// Its place in the order of versions.
+    /// Number of the version; versions are totally ordered.
     pub version: Version,
     /// All configurations.
     pub configs: Vec<Config>,
-    /// Which of them reach whom.
+    /// Selectors, which assign configurations to proxies.
     pub selectors: Vec<Selector>,
-    /// Path by which each service's upstreams tell how they are.
+    /// Path of the health check of each service's upstreams.
     pub health_paths: BTreeMap<String, String>,
 }
 
-/// Why bytes are not what they should be.
+/// Why bytes cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Malformed {
-    /// The bytes do not parse; carries the parser's words.
+    /// The bytes cannot be parsed; has the parser's message.
     Syntax(String),
     /// A field has a value that is not allowed.
     Field { field: &'static str, value: String },
@@ -108,69 +109,68 @@
 
 impl std::error::Error for Malformed {}
 
-/// How far a rollout is, as the operator acts on it.
+/// The state of a rollout, as reported to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutState {
-    /// It is under way.
+    /// It is in progress.
     Running,
-    /// The old upstreams may be stopped at once.
+    /// It has completed; the old upstreams may be stopped at once.
     Completed,
-    /// The new upstreams get nothing.
+    /// It was rolled back; the new upstreams get no calls.
     RolledBack,
 }
 
-/// What the operator reads of a rollout.
+/// The status of a rollout, as reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// The service.
     pub service: String,
     /// The new version.
     pub target: String,
-    /// How far it is.
+    /// State of the rollout.
     pub state: RolloutState,
 }
 
-/// A platform's own way of speaking.
+/// The protocol of a platform.
 pub trait Interface: Send + Sync {
-    /// Returns the names of headers.
+    /// Returns the names of headers and the variations of the protocol.
     fn dialect(&self) -> &Dialect;
 
-    /// Returns the key under which the newest configuration lies whole.
+    /// Returns the key of the newest configuration, which is stored in one value.
     fn config_key(&self) -> &'static str;
 
-    /// Returns the prefix of all keys that operators write, the configuration's and
-    /// those of orders.
+    /// Returns the prefix of all keys that operators write: the configuration and orders.
     fn operator_prefix(&self) -> &'static str;
 
-    /// Returns the prefix of the keys of orders to move a service to a new version.
+    /// Returns the prefix of the keys of orders; an order moves a service to a new version.
     fn order_prefix(&self) -> &'static str;
 
-    /// Decodes such an order, which was written at `revision`.
+    /// Decodes an order that was written at `revision`.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns what is wrong with the order.
     fn decode_order(&self, buf: &[u8], revision: Revision) -> Result<Order, Malformed>;
 
-    /// Returns the key of what the operator reads of a service's rollout.
+    /// Returns the key of the status of a service's rollout.
     fn rollout_status_key(&self, service: &str) -> String;
 
-    /// Encodes what the operator reads of a rollout.
+    /// Encodes the status of a rollout.
     fn encode_rollout_status(&self, status: &RolloutStatus) -> Vec<u8>;
 
     /// Decodes a configuration.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it; nothing is repaired.
+    /// Returns what is wrong with the configuration; no fault is repaired or skipped.
     fn decode_document(&self, buf: &[u8]) -> Result<Document, Malformed>;
 
-    /// Decodes a call of an upstream, or returns `None` where the path is not
-    /// one for such calls.
+    /// Decodes a report of an upstream, or returns `None` where method and path are not
+    /// those of a report.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the call's body.
+    /// Returns what is wrong with the body.
     fn decode_report(
         &self,
         method: &Method,
@@ -178,6 +178,6 @@
         body: &[u8],
     ) -> Result<Option<Report>, Malformed>;
 
-    /// Returns whether a path asks if the daemon takes work.
+    /// Returns whether a path is that of the daemon's readiness check.
     fn is_readiness_path(&self, path: &str) -> bool;
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,10 +1,9 @@
-//! What the product meets at its edges, as types and traits.
+//! Types and traits of the product's external interfaces.
 //!
-//! [`store`] is the key-value service in which everything lasts. [`interface`]
-//! is the form in which callers, upstreams and operators speak: names of
-//! headers, reports of upstreams, and where the configuration lies. An adapter
-//! for another platform implements these and nothing else; no decision is made
-//! behind them.
+//! [`store`] is the key-value store that holds all persistent data. [`interface`] is the
+//! protocol towards callers, upstreams and operators: names of headers, reports of
+//! upstreams, and the keys of the configuration. An adapter for another platform
+//! implements these traits and nothing else; it makes no decisions.
 
 pub mod interface;
 pub mod store;
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service in which everything lasts, seen through one narrow trait.
+//! The key-value store that holds all persistent data, as a trait.
 
 use std::fmt;
 use std::future::Future;
@@ -13,42 +13,42 @@
     pub key: String,
     /// Its value.
     pub value: Vec<u8>,
-    /// When it last changed.
+    /// Revision at which it last changed.
     pub revision: Revision,
 }
 
-/// A lease that was granted.
+/// A lease that the store granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Its id at the platform.
+    /// Its id at the store.
     pub id: i64,
-    /// How long it lasts without a keep-alive.
+    /// Time after which it ends if no keep-alive is sent.
     pub ttl: Duration,
-    /// The store's era in which it was granted; it ends with it.
+    /// The store's era in which it was granted. The lease ends with the era.
     pub era: u64,
 }
 
-/// What a compare-and-swap did.
+/// The result of a write that depends on a condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConditionalWrite {
-    /// The value was written.
+    /// The condition held and the write was done.
     Applied,
-    /// The key had changed; nothing was written.
+    /// A key had changed or the lease had ended; nothing was written.
     Rejected,
 }
 
-/// Why a call to the platform has no result.
+/// Why a call to the store has no result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformError {
-    /// It certainly did not take effect.
+    /// The call certainly did not take effect.
     NotApplied(String),
-    /// The answer was lost; a write may have taken effect.
+    /// No answer was received; a write may have taken effect.
     Unknown(String),
-    /// The platform is over its rate; come back later.
+    /// The platform limits the rate of calls; retry later.
     RateLimited,
-    /// It answered with something that is not its protocol.
+    /// The answer does not conform to the platform's protocol.
     Protocol(String),
-    /// The platform came back from a copy: what was read before may be gone.
+    /// The store was restored from a copy: data that was read before may be gone.
     Restored { era: u64 },
     /// No address of the platform is set.
     NoAddress,
@@ -57,16 +57,22 @@
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlatformError::NotApplied(why) => write!(f, "the platform cannot be reached: {why}"),
-            PlatformError::Unknown(why) => write!(f, "the platform's answer was lost: {why}"),
-            PlatformError::RateLimited => write!(f, "the platform refuses calls over its rate"),
-            PlatformError::Protocol(why) => write!(f, "the platform's answer is wrong: {why}"),
+            PlatformError::NotApplied(why) => {
+                write!(f, "platform call failed without effect: {why}")
+            }
+            PlatformError::Unknown(why) => {
+                write!(f, "platform did not answer, and the call may have been applied: {why}")
+            }
+            PlatformError::RateLimited => {
+                write!(f, "platform refused the call: over its rate limit")
+            }
+            PlatformError::Protocol(why) => write!(f, "platform sent an invalid answer: {why}"),
             PlatformError::Restored { era } => {
-                write!(f, "the platform came back from a copy, in era {era}")
+                write!(f, "the platform's store was restored from a copy, in era {era}")
             }
             PlatformError::NoAddress => write!(
                 f,
-                "no address of the platform is set; name it with --platform or $CICADASHIFT_PLATFORM"
+                "no address of the platform is set; set it with --platform or $CICADASHIFT_PLATFORM"
             ),
         }
     }
@@ -74,29 +80,30 @@
 
 impl std::error::Error for PlatformError {}
 
-/// Calls to the platform; each is one call in its count.
+/// Calls to the store. Each counts as one call at the platform, unless the adapter has to
+/// split it.
 pub trait KeyValueStore: Send + Sync {
-    /// A running watch.
+    /// A watch of this store.
     type Watch: Watch;
 
     /// Reads one key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Pair>, PlatformError>> + Send;
 
-    /// Reads several keys in one call; absent ones are left out.
+    /// Reads several keys in one call; absent keys are left out.
     fn get_many(
         &self,
         keys: &[String],
     ) -> impl Future<Output = Result<Vec<Pair>, PlatformError>> + Send;
 
-    /// Reads all keys with a prefix; without values if `keys_only`.
+    /// Reads all keys with a prefix; values are empty if `keys_only`.
     fn list(
         &self,
         prefix: &str,
         keys_only: bool,
     ) -> impl Future<Output = Result<Vec<Pair>, PlatformError>> + Send;
 
-    /// Reads all keys with a prefix as they were some seconds ago at most, where that
-    /// costs the platform less.
+    /// Reads all keys with a prefix. The result may be some seconds old where that costs the
+    /// platform less.
     fn list_allow_stale(
         &self,
         prefix: &str,
@@ -104,19 +111,19 @@
         self.list(prefix, false)
     }
 
-    /// Writes several keys in one call, whatever they held.
+    /// Writes several keys in one call, without a condition.
     fn put_many(
         &self,
         pairs: &[(String, Vec<u8>)],
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// Deletes several keys in one call if none has changed since it was read.
+    /// Deletes several keys in one call if each last changed at the given revision.
     fn delete_unchanged(
         &self,
         pairs: &[(String, Revision)],
     ) -> impl Future<Output = Result<ConditionalWrite, PlatformError>> + Send;
 
-    /// Writes a key if it last changed at `expected`, under a lease if given.
+    /// Writes a key if it last changed at `expected`, under a lease if one is given.
     fn compare_and_swap(
         &self,
         key: &str,
@@ -125,8 +132,8 @@
         lease: Option<Lease>,
     ) -> impl Future<Output = Result<ConditionalWrite, PlatformError>> + Send;
 
-    /// Writes a key under a lease, whatever it held; [`ConditionalWrite::Rejected`] where the
-    /// lease has ended.
+    /// Writes a key under a lease, whatever its value; returns
+    /// [`ConditionalWrite::Rejected`] where the lease has ended.
     fn put_leased(
         &self,
         key: &str,
@@ -134,10 +141,10 @@
         lease: Lease,
     ) -> impl Future<Output = Result<ConditionalWrite, PlatformError>> + Send;
 
-    /// Asks for a lease.
+    /// Requests a lease.
     fn grant(&self, time: Duration) -> impl Future<Output = Result<Lease, PlatformError>> + Send;
 
-    /// Prolongs a lease; `false` where it has already ended.
+    /// Renews a lease; returns `false` where it has already ended.
     fn keep_alive(&self, lease: Lease) -> impl Future<Output = Result<bool, PlatformError>> + Send;
 
     /// Ends a lease.
@@ -155,14 +162,14 @@
         prefix: &str,
     ) -> impl Future<Output = Result<(Vec<Pair>, Self::Watch), PlatformError>> + Send {
         async {
-            // The watch is in place before the reading, so that nothing falls between.
+            // The watch starts before the read, so that no change in between is missed.
             let watch = self.watch(prefix).await?;
             Ok((self.list(prefix, false).await?, watch))
         }
     }
 
-    /// Watches the keys with a prefix for what changed after a position. Its first
-    /// report may be empty: nothing had changed then.
+    /// Watches the keys with a prefix for changes after a revision. The first result of the
+    /// watch may be empty: no key had changed.
     fn watch_from(
         &self,
         prefix: &str,
@@ -170,7 +177,7 @@
     ) -> impl Future<Output = Result<Self::Watch, PlatformError>> + Send;
 }
 
-/// What a watch reports.
+/// A change that a watch reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A key was written.
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,5 +1,5 @@
-//! The context of a forwarded call, and the headers that callers and upstreams
-//! see.
+//! The context of a forwarded call, and the headers between daemons, callers and
+//! upstreams.
 
 use crate::{WireError, rpc};
 use base64::Engine;
@@ -10,103 +10,105 @@
 
 /// Header between daemons that carries a [`Context`].
 pub const CONTEXT: &str = "cicadashift-call";
-/// Names the call from end to end; made by the entry daemon if absent.
+/// Identifies a call from the caller to the upstream; the entry daemon sets it if absent.
 pub const REQUEST_ID: &str = "cicadashift-request-id";
-/// Milliseconds left of the call's deadline. Upstreams pass it on with calls of
-/// their own.
+/// Milliseconds left until the call's deadline. Upstreams pass it on with the calls that
+/// they make for this one.
 pub const DEADLINE: &str = "cicadashift-deadline-ms";
-/// Attempts left to calls below this one. Upstreams pass it on.
+/// Attempts left for the calls that an upstream makes for this one. Upstreams pass it on
+/// with those calls.
 pub const ATTEMPTS: &str = "cicadashift-attempts";
-/// Names the caller for fairness.
+/// Identifies the caller for fair queueing.
 pub const CALLER: &str = "cicadashift-caller";
-/// Names the organisation that sent the call, on what goes to upstreams.
+/// Name of the organisation that sent the call, on requests to upstreams.
 pub const ORGANISATION: &str = "cicadashift-organisation";
-/// On answers without a whole answer of an upstream: `not-run` or `unknown`. An
-/// upstream may say `not-run` itself on a 503 when it sheds.
+/// On answers that do not contain a complete answer of an upstream: `not-run` or
+/// `unknown`. An upstream that sheds load may itself set `not-run` on a 503.
 pub const OUTCOME: &str = "cicadashift-outcome";
 /// Value of [`OUTCOME`]: the call certainly did not run.
 pub const NOT_RUN: &str = "not-run";
 /// Value of [`OUTCOME`]: the call may have run.
 pub const UNKNOWN: &str = "unknown";
-/// Why, in one word, on refusals.
+/// Reason for a refusal, as a short code.
 pub const REASON: &str = "cicadashift-reason";
-/// Value of [`REASON`]: the upstream ended while it ran the call.
+/// Value of [`REASON`]: the upstream process ended while it ran the call.
 pub const UPSTREAM_ENDED: &str = "upstream-ended";
-/// Value of [`REASON`]: the call ends the upstreams that run it.
+/// Value of [`REASON`]: the call ends the upstreams that run it (a query of death).
 pub const QUARANTINED: &str = "quarantined";
-/// Value of [`REASON`]: the call may end the upstreams that run it; it runs as a trial only.
+/// Value of [`REASON`]: the call may end the upstreams that run it, so it runs only as a
+/// trial.
 pub const DISPUTED: &str = "disputed";
-/// Milliseconds after which to come back; finer than `Retry-After`.
+/// Milliseconds after which to retry; finer than `Retry-After`.
 pub const RETRY_AFTER_MS: &str = "cicadashift-retry-after-ms";
-/// On answers between daemons: calls now at the upstream and waiting for it.
+/// On answers between daemons: calls running at the upstream and queued for it.
 pub const LOAD: &str = "cicadashift-load";
-/// On answers between daemons: calls in a thousand that the upstream takes of those
-/// sent to it.
+/// On answers between daemons: of a thousand calls sent to the upstream, how many it
+/// accepts.
 pub const ACCEPT_RATIO: &str = "cicadashift-accepts";
-/// On an upstream's answer: calls a second that it takes from all hosts together.
+/// On an upstream's answer: calls per second that it accepts from all hosts together.
 pub const LIMIT: &str = "cicadashift-limit";
 /// On an upstream's answer: it takes no new calls.
 pub const LEAVING: &str = "cicadashift-leaving";
-/// On answers between daemons: the upstream takes no new calls until it starts anew. The
-/// value is its start, zero where that is not known.
+/// On answers between daemons: the upstream takes no new calls until it restarts. The
+/// value is the time of its last start, zero where that is not known.
 pub const LEAVING_START: &str = "cicadashift-leaving-start";
 /// On answers between daemons: the limit that the upstream names, in thousandths of a
-/// call a second.
+/// call per second.
 pub const LIMIT_THOUSANDTHS: &str = "cicadashift-limit-thousandths";
-/// On answers between daemons: milliseconds after which to ask the upstream again, where
-/// it names a limit.
+/// On answers between daemons: milliseconds until the upstream's rate limit has its next
+/// token, where it names a limit.
 pub const NEXT_TOKEN_MS: &str = "cicadashift-next-token-ms";
-/// On answers between daemons: microseconds from sending to the upstream to the
-/// head of its answer.
+/// On answers between daemons: microseconds from sending the call to the upstream until
+/// the head of its answer arrived.
 pub const SERVICE_US: &str = "cicadashift-service-us";
-/// On answers between daemons: milliseconds that one more large answer of the
-/// usual size would take to leave the exit daemon's host.
+/// On answers between daemons: milliseconds that another large answer of the usual size
+/// would take to be sent over the link of the exit daemon's host.
 pub const LINK_MS: &str = "cicadashift-link-ms";
-/// Every header of ours starts with this; those from outside that are not
-/// listed for callers are removed.
+/// Prefix of all headers of this product. Headers with this prefix that come from outside
+/// the mesh and are not meant for callers are removed.
 pub const PREFIX: &str = "cicadashift-";
 
 /// Longest encoded context in bytes.
 const MAX_CONTEXT: usize = 1024;
 
-/// What the exit daemon needs to know of a call.
+/// The properties of a call that the exit daemon needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Context {
-    /// Names the call in logs.
+    /// Id of the call, also in logs.
     pub request_id: String,
     /// The chosen instance.
     pub instance: String,
-    /// Milliseconds left of the deadline when it was sent.
+    /// Milliseconds left until the deadline when the call was sent.
     pub deadline_ms: u32,
-    /// Milliseconds left of the time in which an answer is worth most.
+    /// Milliseconds left until the latency objective when the call was sent.
     pub objective_ms: u32,
-    /// Milliseconds for which the link of the exit daemon's host may be busy for a
-    /// large answer to be taken on.
+    /// Longest backlog of the exit daemon's link, in milliseconds, at which a call with a
+    /// large answer is still accepted.
     #[serde(rename = "link_most_ms")]
     pub max_link_backlog_ms: u32,
-    /// Milliseconds that it may be expected to wait for a slot.
+    /// Longest expected wait for a slot, in milliseconds, at which the call is accepted.
     #[serde(rename = "wait_most_ms")]
     pub max_slot_wait_ms: u32,
-    /// Names what it asks for, whatever its id.
+    /// Digest of the request; the same for each copy of it, whatever its id.
     pub digest: CallDigest,
-    /// From its route.
+    /// Priority from the route.
     pub priority: Priority,
-    /// Names the caller for fairness.
+    /// Identifies the caller for fair queueing.
     pub caller: u64,
-    /// Names the kind of call, for what its time is known from.
+    /// Identifies the kind of call, by which service times are measured.
     pub call_kind: u64,
-    /// Service of the host on which the call began; empty where it is not told.
+    /// Service of the host on which the call began; empty where it is not known.
     pub caller_service: String,
     /// Organisation that sent the call; empty where none did.
     pub organisation: String,
-    /// Attempts left to calls that the upstream makes.
+    /// Attempts left for the calls that the upstream makes for this one.
     pub attempts: u32,
-    /// The configuration version that routed it.
+    /// Version of the configuration that routed the call.
     pub version: Version,
-    /// Whether it is the one trial of a call that may end upstreams.
+    /// Whether this is the trial of a call that may end upstreams; one trial runs at a time.
     pub is_trial: bool,
-    /// The limit that the upstream named when the sender last heard, in thousandths of a
-    /// call a second.
+    /// The limit that the upstream named in the last answer that the sender received, in
+    /// thousandths of a call per second.
     pub limit_thousandths: Option<u32>,
 }
 
@@ -120,10 +122,10 @@
     ///
     /// # Errors
     ///
-    /// Returns [`WireError`] where it is too long or not a context.
+    /// Returns [`WireError`] where the value is too long or not a context.
     pub fn from_header(value: &[u8]) -> Result<Context, WireError> {
         if value.len() > MAX_CONTEXT {
-            return Err(WireError::TooLarge { got: value.len(), most: MAX_CONTEXT });
+            return Err(WireError::TooLarge { got: value.len(), max: MAX_CONTEXT });
         }
         let buf =
             STANDARD_NO_PAD.decode(value).map_err(|err| WireError::Malformed(err.to_string()))?;
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Probes and gossip.
+//! Datagrams between daemons: probes and gossip.
 
 use crate::WireError;
 use crate::seal::MeshKey;
@@ -8,75 +8,76 @@
 use cicadashift_core::request::suspects::Suspicion;
 use serde::{Deserialize, Serialize};
 
-/// Largest datagram sent or taken in, in bytes.
+/// Largest datagram sent or accepted, in bytes.
 pub const MAX_DATAGRAM: usize = 8192;
 
-/// One datagram.
+/// A datagram, with the data that is piggybacked on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who sends it.
+    /// The sender.
     pub from: HostKey,
-    /// What it is for.
+    /// Purpose of the datagram.
     pub kind: Kind,
-    /// The highest version that the sender knows to be active; a receiver that
-    /// runs less knows that it missed something.
+    /// The highest version that the sender knows to be active. A receiver that runs a
+    /// lower one has missed an activation.
     pub active: Version,
-    /// Whether the sender follows the store itself, so that `active` is what the
-    /// store has.
+    /// Whether the sender follows the store itself, so that `active` is the version in
+    /// the store.
     #[serde(rename = "follows")]
     pub follows_store: bool,
-    /// Digest of the sender's table.
+    /// Digest of the sender's membership table.
     pub digest: u64,
-    /// News that rides along.
+    /// Records that are piggybacked.
     pub records: Vec<Record>,
     /// Summary of the calls that the sender suspects of ending upstreams.
     #[serde(rename = "suspects")]
     pub suspicions_summary: u64,
-    /// News of such calls.
+    /// Suspicions that are piggybacked.
     pub suspicions: Vec<Suspicion>,
-    /// What the sender saw of limits that the receiver keeps.
+    /// Usage reports on limits whose keeper is the receiver.
     pub usages: Vec<Usage>,
-    /// What the receiver may admit under limits that the sender keeps.
+    /// Grants to the receiver under limits whose keeper is the sender.
     pub grants: Vec<Grant>,
-    /// Limits that are held back, to be passed on.
+    /// Grants of throttled limits, which the receiver forwards.
     pub notice: Option<Notice>,
 }
 
-/// What a datagram is for.
+/// The purpose of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// Asks for an [`Kind::Ack`].
     Ping,
     /// Answers a ping.
     Ack,
-    /// Asks to ping `target` for the sender.
+    /// Asks the receiver to ping `target` for the sender.
     PingFor { target: HostKey },
-    /// Says that `target` answered.
+    /// Reports that `target` answered.
     AckFor { target: HostKey },
-    /// Only brings news.
+    /// Carries piggybacked data and needs no answer.
     News,
 }
 
 impl Datagram {
-    /// Encodes and seals.
+    /// Encodes the datagram and appends its seal.
     ///
     /// # Panics
     ///
-    /// Does not: a datagram is plain data.
+    /// Never: a datagram is plain data, which always encodes.
     pub fn encode(&self, key: &MeshKey) -> Vec<u8> {
         let mut buf = rmp_serde::to_vec(self).expect("plain data always encodes");
         key.seal(&mut buf);
         buf
     }
 
-    /// Checks the seal and decodes.
+    /// Checks the seal and decodes the datagram.
     ///
     /// # Errors
     ///
-    /// Returns [`WireError`] for anything that a holder of the key did not send.
+    /// Returns [`WireError`] where the datagram is too long, its seal is not made with
+    /// `key`, or its contents cannot be decoded.
     pub fn decode(buf: &[u8], key: &MeshKey) -> Result<Datagram, WireError> {
         if buf.len() > MAX_DATAGRAM {
-            return Err(WireError::TooLarge { got: buf.len(), most: MAX_DATAGRAM });
+            return Err(WireError::TooLarge { got: buf.len(), max: MAX_DATAGRAM });
         }
         let body = key.open(buf).ok_or(WireError::BadSeal)?;
         rmp_serde::from_slice(body).map_err(|err| WireError::Malformed(err.to_string()))
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,13 +1,13 @@
-//! Messages between daemons and how they are encoded.
+//! Messages between daemons, and their encoding.
 //!
-//! Requests travel as MessagePack in the body of `POST /mesh` ([`rpc`]); probes
-//! and gossip as MessagePack in datagrams ([`datagram`]), because an HTTP
-//! exchange costs ten times the bytes of a probe. Forwarded calls stay plain
-//! HTTP and carry their context in one header ([`call`]). All of it is sealed
-//! with the mesh key ([`seal`]).
+//! Requests are sent as MessagePack in the body of `POST /mesh` ([`rpc`]). Probes
+//! and gossip are sent as MessagePack in datagrams ([`datagram`]), because an HTTP
+//! exchange costs ten times the bytes of a probe. Forwarded calls stay plain HTTP
+//! and carry their context in one header ([`call`]). Datagrams are sealed with the
+//! mesh key, and connections carry a token made from it ([`seal`]).
 //!
-//! Decoders here take bytes from the network: they bound sizes, never panic, and
-//! return a typed error. `tests/decoders.rs` feeds them arbitrary bytes.
+//! The decoders read bytes from the network: they limit sizes, never panic, and
+//! return typed errors. `tests/decoders.rs` feeds them arbitrary bytes.
 
 pub mod call;
 pub mod datagram;
@@ -16,12 +16,12 @@
 
 use std::fmt;
 
-/// Why bytes are not a message.
+/// Why bytes cannot be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// More bytes than the message may have.
-    TooLarge { got: usize, most: usize },
-    /// Not MessagePack of the expected shape.
+    /// The message is longer than the limit.
+    TooLarge { got: usize, max: usize },
+    /// Not an encoding of the expected type.
     Malformed(String),
     /// Not sealed with the mesh key.
     BadSeal,
@@ -30,9 +30,11 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::TooLarge { got, most } => write!(f, "{got} bytes, at most {most}"),
+            WireError::TooLarge { got, max } => {
+                write!(f, "message too large: {got} bytes, at most {max}")
+            }
             WireError::Malformed(why) => write!(f, "malformed message: {why}"),
-            WireError::BadSeal => write!(f, "not sealed with this mesh's key"),
+            WireError::BadSeal => write!(f, "seal is missing or not made with this mesh's key"),
         }
     }
 }
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Requests between daemons.
+//! Requests between daemons, and their responses.
 
 use crate::WireError;
 use cicadashift_core::config::delta::Delta;
@@ -11,42 +11,43 @@
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-/// Path that requests are posted to.
+/// Path of requests between daemons (method `POST`).
 pub const PATH: &str = "/mesh";
 /// Header that carries [`crate::seal::MeshKey::token`].
 pub const TOKEN_HEADER: &str = "cicadashift-token";
-/// Largest message in bytes: one object of a megabyte and its frame.
+/// Largest message in bytes: one object of a megabyte and the encoding around it.
 pub const MAX_MESSAGE: usize = (1 << 20) + 4096;
 
-/// Names a version and its root.
+/// Reference to a version and its root.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRef {
-    /// Place in the total order.
+    /// Number of the version; versions are totally ordered.
     pub version: Version,
-    /// Hash of its root.
+    /// Hash of the root of its manifest.
     pub root: ObjectHash,
     /// When it was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
 }
 
-/// What is new in a version, small enough to travel with its offer.
+/// Changes of a version's manifest, small enough to be sent with the offer.
 ///
-/// Who holds the root of `base` makes the new root out of it and checks its hash;
-/// who does not fetches the root. It saves two exchanges per host and change.
+/// A daemon that holds the root `base` computes the new root from it and checks the hash;
+/// any other daemon fetches the root. This saves two exchanges per host and change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ManifestDelta {
-    /// Root that the slots change; absent where there is none to build on.
+    /// Root that the changes apply to; absent where there is none.
     pub base: Option<ObjectHash>,
-    /// Positions in the root, as `Root::slots` counts them, with what is there now.
+    /// Changed positions in the root, as indices into `Root::page_hashes`, with the
+    /// new hashes.
     pub slots: Vec<(u16, ObjectHash)>,
-    /// Bytes of the pages named in `slots`, as far as they are small.
+    /// Contents of those pages named in `slots` that are small.
     pub pages: Vec<ByteBuf>,
 }
 
-/// What one daemon asks of another.
+/// A request of one daemon to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// Hold this version, and pass it on to `rest`.
+    /// Fetch and hold this version, and forward the offer to `rest`.
     Offer {
         #[serde(rename = "what")]
         version_ref: VersionRef,
@@ -55,25 +56,28 @@
         delta: ManifestDelta,
         rest: Vec<HostKey>,
     },
-    /// Send these objects as far as they are held.
+    /// Send those of these objects that are held.
     Fetch { hashes: Vec<ObjectHash> },
     /// Promise this version as a witness.
     Promise { version: Version },
-    /// Tell the fresh daemon `host` in its life `life` what it must not go below.
+    /// Return, as a witness, the version that the daemon `host`, which has just started in
+    /// the incarnation `life`, must not go below.
     Floor { host: HostKey, life: Incarnation },
-    /// This version is safe to run; pass it on to `rest`.
+    /// Run this version, which is safe to run, and forward this to `rest`.
     Activate {
         #[serde(rename = "what")]
         version_ref: VersionRef,
         rest: Vec<HostKey>,
     },
-    /// Send what my table lacks; this is its outline, and these are records that you
-    /// may lack.
+    /// Compare membership tables: `outline` summarises the sender's table, and `records`
+    /// are some that the receiver may lack. The response has the records that the sender
+    /// lacks.
     Sync { outline: Vec<(HostKey, u64)>, records: Vec<Record> },
-    /// These are records that you asked for.
+    /// Add these records, which the receiver asked for in [`Response::Compared`].
     #[serde(rename = "Tell")]
     PushRecords { records: Vec<Record> },
-    /// Between failure domains: what changed since `since`, and what I know.
+    /// Between failure domains: send the records that changed since `since`. `records` and
+    /// `newest` are the sender's own changes and its newest complete version.
     Exchange {
         from: HostKey,
         life: Incarnation,
@@ -81,95 +85,97 @@
         records: Vec<Record>,
         newest: Option<VersionRef>,
     },
-    /// Read the platform's head for me, beginning after this request.
+    /// Read the platform's head, beginning after this request arrived, and return it.
     Head,
-    /// Which version is active here?
+    /// Return the active version.
     Current,
-    /// Send what makes the configuration in force of the version `held`.
+    /// Send an update from the version `held` to the configuration in force.
     Document { held: Version },
-    /// What do you know of yourself, for `status`?
+    /// Return the daemon's own status, for the command `status`.
     Status,
-    /// What do you know of organisations' quotas?
+    /// Return the state of the organisations' quotas.
     Quotas,
     /// Add these rows to the delivery record.
     Record { rows: Vec<RecordRow> },
-    /// These calls are suspected here of ending upstreams; which are there?
+    /// Merge the sender's suspicions of calls that end upstreams, and return all that the
+    /// receiver has.
     Suspicions(Vec<Suspicion>),
-    /// This is what upstreams of a service answered while it is rolled out.
+    /// Report on the answers of a service's upstreams during a rollout.
     Rollout(Report),
 }
 
-/// How one host fared with an offer or activation.
+/// The result of an offer or activation at one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DeliveryResult {
-    /// Holds or runs the version.
+    /// The host holds or runs the version.
     Done,
-    /// Found it bad.
+    /// The host rejected the version as invalid, with the reason.
     Refused(String),
-    /// Could not be reached or did not finish in time.
+    /// The host could not be reached or did not finish in time.
     Late,
 }
 
-/// The answer to a [`Request`].
+/// The response to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// To `Offer` and `Activate`: one row for each host below.
+    /// To `Offer` and `Activate`: one result for the host itself and for each host that the
+    /// request was forwarded to.
     #[serde(rename = "Fates")]
     DeliveryResults(Vec<(HostKey, DeliveryResult)>),
-    /// To `Fetch`: those of the objects that are held.
+    /// To `Fetch`: those of the requested objects that are held.
     Objects(Vec<(ObjectHash, ByteBuf)>),
-    /// To `Promise` and `Floor`: what the witness says, if it may speak.
+    /// To `Promise` and `Floor`: the testimony of the witness, if it may give one.
     Testimony(Option<Testimony>),
-    /// To `Sync`: what the other table lacks, and the hosts whose records this one
-    /// lacks.
+    /// To `Sync`: records that the requester's table lacks, and the hosts whose records are
+    /// wanted from it.
     Compared { records: Vec<Record>, wanted: Vec<HostKey>, active: Version, catalog: Vec<String> },
-    /// To `Exchange`: what changed here since `since`, the position to ask from
-    /// next, and the life it belongs to.
+    /// To `Exchange`: the records that changed since `since`, the position to ask from
+    /// next, and the incarnation whose journal the position belongs to.
     Exchanged {
         life: Incarnation,
         records: Vec<Record>,
         pos: JournalPos,
         newest: Option<VersionRef>,
     },
-    /// To `Head` and `Current`: nothing where it is not known.
+    /// To `Head` and `Current`: the version, `None` where it is not known.
     Version(Option<VersionRef>),
-    /// To `Document`: nothing where no newer one is in force.
+    /// To `Document`: the update, `None` where no newer version is in force.
     Document(Option<Update>),
-    /// To `Status`, as JSON, since it goes on to people.
+    /// To `Status` and `Quotas`: JSON, since operators read it.
     Status(String),
-    /// To `Suspicions`: all of them.
+    /// To `Suspicions`: all suspicions of the receiver.
     Suspicions(Vec<Suspicion>),
-    /// To `Rollout`: since which step canaries count, and what each may be sent; nothing
-    /// where the daemon does not decide.
+    /// To `Rollout`: the step since which answers of canaries count, and the quota of calls
+    /// for each canary; `None` where the daemon is not the decider.
     Quotas(Option<(u32, Quotas)>),
-    /// Nothing to say.
+    /// The request is done; there is nothing to return.
     Done,
-    /// Cannot be answered, and why.
+    /// The request cannot be answered, with the reason.
     Declined(String),
 }
 
-/// A configuration for a member that lacks it.
+/// An update of a member to the configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Its version.
+    /// Version of the configuration.
     pub version: Version,
-    /// Its position in the store, from which on the store can be watched.
+    /// Revision in the store at which it was written; a watch of the store can start there.
     pub revision: Revision,
-    /// Its text.
+    /// Text of the configuration.
     pub body: UpdateBody,
 }
 
-/// The text of a configuration for a member.
+/// The text of a configuration, complete or as a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpdateBody {
-    /// All of it.
+    /// The complete text.
     #[serde(rename = "Whole")]
     Complete(ByteBuf),
-    /// What differs from the version that the member holds.
+    /// The delta from the version that the member holds.
     Changed(Delta),
 }
 
-/// One version's fate in one failure domain.
+/// The delivery of one version in one failure domain, as a row of the delivery record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RecordRow {
     /// The version.
@@ -178,17 +184,18 @@
     pub domain: String,
     /// When the operator accepted it, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// When the reader saw it.
+    /// When the reader first read it.
     pub seen_ms: u64,
-    /// When every live member held it, or nothing where one did not.
+    /// When every live member held it; `None` where a member did not.
     pub staged_ms: Option<u64>,
-    /// When every live member ran it, or nothing where one did not.
+    /// When every live member ran it; `None` where a member did not.
     pub run_ms: Option<u64>,
-    /// Members it was offered to.
+    /// Number of members that it was offered to.
     pub offered: u32,
-    /// Bytes sent and received for control by the reader's count since its start.
+    /// Bytes of control traffic that the reader sent and received from reading the version
+    /// until it finished this row.
     pub control_bytes: u64,
-    /// Those late or refusing, with the reason.
+    /// Members that were late or rejected it, by name, with the reason.
     pub late: Vec<(String, String)>,
 }
 
@@ -196,7 +203,7 @@
 ///
 /// # Panics
 ///
-/// Does not: messages are plain data.
+/// Never: messages are plain data, which always encodes.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     rmp_serde::to_vec(message).expect("plain data always encodes")
 }
@@ -205,10 +212,11 @@
 ///
 /// # Errors
 ///
-/// Returns [`WireError`] where the bytes are too many or not a `T`.
+/// Returns [`WireError`] where there are more than [`MAX_MESSAGE`] bytes, or they do not
+/// encode a `T`.
 pub fn decode<T: for<'de> Deserialize<'de>>(buf: &[u8]) -> Result<T, WireError> {
     if buf.len() > MAX_MESSAGE {
-        return Err(WireError::TooLarge { got: buf.len(), most: MAX_MESSAGE });
+        return Err(WireError::TooLarge { got: buf.len(), max: MAX_MESSAGE });
     }
     rmp_serde::from_slice(buf).map_err(|err| WireError::Malformed(err.to_string()))
 }
--- a/crates/wire/src/seal.rs
+++ b/crates/wire/src/seal.rs
@@ -1,16 +1,16 @@
 //! Proof that a message comes from a holder of the mesh key.
 //!
-//! HMAC-SHA-256 through libraries, cut to sixteen bytes. It keeps
-//! out strangers and other meshes. It does not hide anything, and an attacker
-//! who can record traffic can send a datagram again; since every receiver
-//! ignores old records, a repetition changes nothing. See `docs/DESIGN.md`,
+//! The proof is an HMAC-SHA-256 from a library, truncated to sixteen bytes. It rejects
+//! messages from outside the mesh and from other meshes. It encrypts nothing, and an
+//! attacker who can record traffic can replay a datagram; since every receiver
+//! ignores old records, a replay changes nothing. See `docs/DESIGN.md`,
 //! "What is trusted".
 
 use cicadashift_core::ids::CallDigest;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Bytes of a datagram's seal.
+/// Length of a datagram's seal in bytes.
 pub const SEAL_BYTES: usize = 16;
 
 const DIGEST_CONTEXT: &[u8] = b"cicadashift call digest 1";
@@ -24,11 +24,11 @@
 }
 
 impl MeshKey {
-    /// Makes the key from the settings' text.
+    /// Makes the key from the secret in the settings.
     ///
     /// # Panics
     ///
-    /// Does not: HMAC takes keys of any length.
+    /// Never: HMAC takes keys of any length.
     pub fn new(secret: &str) -> MeshKey {
         let mac = Hmac::<Sha256>::new_from_slice(secret.as_bytes()).expect("any length is a key");
         let token = mac.clone().chain_update(TOKEN_CONTEXT).finalize().into_bytes();
@@ -36,12 +36,12 @@
         MeshKey { mac, token }
     }
 
-    /// Returns the header value that proves a connection's sender has the key.
+    /// Returns the header value that proves that the sender has the key.
     pub fn token(&self) -> &str {
         &self.token
     }
 
-    /// Returns whether a header value is the token, in constant time.
+    /// Returns whether a header value is the token; compares in constant time.
     pub fn accepts_token(&self, value: &[u8]) -> bool {
         let token = self.token.as_bytes();
         let differ = token.iter().zip(value).fold(0, |acc, (a, b)| acc | (a ^ b));
@@ -50,8 +50,8 @@
 
     /// Returns the digest of a call's parts.
     ///
-    /// It is keyed, so that a caller cannot make a call whose digest is that of
-    /// somebody else's, and the same at all holders of the key.
+    /// The digest is keyed, so that a caller cannot construct a call whose digest is that
+    /// of another caller's call. It is the same at all holders of the key.
     pub fn digest(&self, parts: &[&[u8]]) -> CallDigest {
         let mut mac = self.mac.clone().chain_update(DIGEST_CONTEXT);
         for part in parts {
@@ -62,13 +62,13 @@
         CallDigest(u64::from_le_bytes(std::array::from_fn(|i| tag[i])))
     }
 
-    /// Appends the seal to a datagram.
+    /// Appends the seal to a datagram's contents.
     pub fn seal(&self, buf: &mut Vec<u8>) {
         let tag = self.mac.clone().chain_update(&*buf).finalize().into_bytes();
         buf.extend_from_slice(&tag[..SEAL_BYTES]);
     }
 
-    /// Returns a datagram's contents if its seal is right.
+    /// Returns a datagram's contents if its seal is valid.
     pub fn open<'a>(&self, buf: &'a [u8]) -> Option<&'a [u8]> {
         let (body, tag) = buf.split_at_checked(buf.len().checked_sub(SEAL_BYTES)?)?;
         self.mac.clone().chain_update(body).verify_truncated_left(tag).ok()?;
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes come, decoders return an error or a message, and never more.
+//! For any input bytes, the decoders return a message or an error and never panic.
 
 use cicadashift_core::ids::HostKey;
 use cicadashift_wire::call::Context;
@@ -30,7 +30,7 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_do_no_harm(buf in proptest::collection::vec(any::<u8>(), 0..2048)) {
+    fn arbitrary_bytes_do_not_panic(buf in proptest::collection::vec(any::<u8>(), 0..2048)) {
         let _request = rpc::decode::<Request>(&buf);
         let _response = rpc::decode::<Response>(&buf);
         let _context = Context::from_header(&buf);
@@ -38,14 +38,14 @@
     }
 
     #[test]
-    fn sealed_arbitrary_bytes_do_no_harm(buf in proptest::collection::vec(any::<u8>(), 0..512)) {
+    fn sealed_arbitrary_bytes_do_not_panic(buf in proptest::collection::vec(any::<u8>(), 0..512)) {
         let mut sealed = buf;
         key().seal(&mut sealed);
         let _datagram = Datagram::decode(&sealed, &key());
     }
 
     #[test]
-    fn a_datagram_comes_back_as_it_was(digest in any::<u64>()) {
+    fn a_datagram_is_decoded_as_it_was_encoded(digest in any::<u64>()) {
         let sent = datagram(digest);
         prop_assert_eq!(Datagram::decode(&sent.encode(&key()), &key()), Ok(sent));
     }
--- a/crates/wire/tests/mutations.rs
+++ b/crates/wire/tests/mutations.rs
@@ -1,9 +1,9 @@
-//! Datagrams of another writer, who has the key: well sealed, but with bytes changed.
+//! Messages with changed bytes; datagrams are sealed with the mesh key after the change.
 //!
-//! A member of another release, or one whose memory fails, sends what looks like news.
-//! If it were believed in part, hosts would vanish from the tables of others and calls
-//! would go to upstreams that do not exist. What can be read replaces at most the record
-//! that it names, and whatever cannot be read changes nothing.
+//! A member of another release, or one with faulty memory, may send such messages. If a
+//! receiver applied a part of one, hosts would disappear from its membership table, and
+//! calls would go to upstreams that do not exist. A datagram that can be decoded replaces
+//! at most the records that it names; one that cannot be decoded changes nothing.
 
 use cicadashift_core::ids::HostKey;
 use cicadashift_core::limit::{Grant, LimitKey, Notice, Usage};
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Mutations of each message; all from one seed.
+/// Number of mutations of each message, all from one seed.
 const MUTATIONS: usize = 4000;
 const SEED: u64 = 20_261_203;
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Changes, drops, doubles or inserts a few bytes.
+/// Changes, removes or inserts one or two bytes, or truncates the message.
 fn mutate(buf: &mut Vec<u8>, rng: &mut fastrand::Rng) {
     for _ in 0..rng.usize(1..3) {
         if buf.is_empty() {
@@ -78,7 +78,7 @@
     }
 }
 
-fn known() -> Table {
+fn initial_table() -> Table {
     let now = Instant::now();
     let mut table = Table::new(record("me"), now);
     for name in ["a", "b", "c"] {
@@ -95,51 +95,58 @@
 fn a_changed_datagram_replaces_at_most_the_records_that_it_names() {
     let key = MeshKey::new("a key for tests, not for use");
     let mut rng = fastrand::Rng::with_seed(SEED);
-    let whole = rpc::encode(&datagram());
-    let mut read = 0;
+    let original = rpc::encode(&datagram());
+    let mut decoded = 0;
     for _ in 0..MUTATIONS {
-        let mut buf = whole.clone();
+        let mut buf = original.clone();
         mutate(&mut buf, &mut rng);
         key.seal(&mut buf);
-        let mut table = known();
+        let mut table = initial_table();
         let before = by_host(&table);
         let Ok(got) = Datagram::decode(&buf, &key) else { continue };
-        read += 1;
+        decoded += 1;
         let named: Vec<HostKey> = got.records.iter().map(|record| record.host).collect();
         for record in got.records {
             table.apply(record, Instant::now());
         }
         let after = by_host(&table);
         for (host, record) in before.iter().filter(|(host, _)| !named.contains(host)) {
-            assert_eq!(after.get(host), Some(record), "a record that was not named");
+            assert_eq!(
+                after.get(host),
+                Some(record),
+                "a record that the datagram does not name has changed"
+            );
         }
         assert!(after.len() <= before.len() + named.len());
     }
-    assert!(read > MUTATIONS / 20, "only {read} could be read: the test shows little");
+    assert!(
+        decoded > MUTATIONS / 20,
+        "only {decoded} datagrams could be decoded: too few for this test"
+    );
 }
 
 #[test]
-fn changed_requests_and_answers_between_daemons_are_read_or_refused() {
+fn changed_requests_and_responses_are_decoded_or_refused() {
     let mut rng = fastrand::Rng::with_seed(SEED);
     let request = rpc::Request::Sync {
         outline: vec![(HostKey::of("a"), 1), (HostKey::of("b"), 2)],
         records: vec![record("a")],
     };
-    let answer = rpc::Response::Compared {
+    let response = rpc::Response::Compared {
         records: vec![record("b"), record("c")],
         wanted: vec![HostKey::of("a")],
         active: 12,
         catalog: vec!["orders".to_string()],
     };
-    let messages = [rpc::encode(&request), rpc::encode(&answer)];
+    let messages = [rpc::encode(&request), rpc::encode(&response)];
     let mut refused = 0;
     for _ in 0..MUTATIONS {
-        for whole in &messages {
-            let mut buf = whole.clone();
+        for original in &messages {
+            let mut buf = original.clone();
             mutate(&mut buf, &mut rng);
             refused += usize::from(rpc::decode::<rpc::Request>(&buf).is_err());
             refused += usize::from(rpc::decode::<rpc::Response>(&buf).is_err());
         }
     }
-    assert!(refused > MUTATIONS, "only {refused} were refused");
+    assert!(refused > MUTATIONS, "only {refused} messages were refused");
 }
