--- a/crates/testkit/src/mesh.rs
+++ b/crates/testkit/src/mesh.rs
@@ -105,7 +105,7 @@
     /// Returns what the operators' client says.
     pub async fn accept(&self, text: &str) -> Result<Version, OperatorError> {
         let invalid = |why| OperatorError::Invalid { file: "test".to_string(), why };
-        let (op, cfg, object) = change::accepting(text.as_bytes()).map_err(invalid)?;
+        let (op, cfg, object) = change::prepare_accept(text.as_bytes()).map_err(invalid)?;
         let until = Instant::now() + PATIENCE;
         // The roster with the services is written a moment after the first
         // announcement.
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -102,7 +102,7 @@
     pub async fn accept(&self, file: &Path, dry_run: bool, wait: Option<Duration>) -> Result {
         let buf = read(file)?;
         let invalid = |why| OperatorError::Invalid { file: file.display().to_string(), why };
-        let (op, cfg, object) = change::accepting(&buf).map_err(invalid)?;
+        let (op, cfg, object) = change::prepare_accept(&buf).map_err(invalid)?;
         let services = change::services(&self.platform).await?;
         change::check_services(&cfg, &services).map_err(invalid)?;
         self.change(op, Some(object), dry_run, wait).await
--- a/src/operator/change.rs
+++ b/src/operator/change.rs
@@ -93,7 +93,7 @@
 /// # Errors
 ///
 /// Returns [`Invalid`] for what no proxy could run.
-pub fn accepting(buf: &[u8]) -> Result<(Operation, Config, Object), Invalid> {
+pub fn prepare_accept(buf: &[u8]) -> Result<(Operation, Config, Object), Invalid> {
     let cfg = Config::parse(buf)?;
     // Hashes are of the text as it was checked, without an operator's spacing,
     // so that the same configuration is the same object.
