--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,6 +1,6 @@
-//! The operators' commands: what they do and what they say.
+//! The operators' commands and their output.
 
-use super::{DONE, MISUSE, NOT_DONE};
+use super::{FAILURE, SUCCESS, USAGE_ERROR};
 use crate::clock::{Clock, SystemClock};
 use crate::operator::change::{self, Snapshot};
 use crate::operator::{
@@ -17,43 +17,48 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Default time that `--wait` waits, in seconds.
-pub const WAIT_SECONDS: u64 = 30;
-/// Time between two pictures of `status --watch`.
-const WATCH_STEP: Duration = Duration::from_secs(1);
-/// Environment variable that stands in for `--platform`.
+/// Default time limit of `--wait`, in seconds.
+pub const DEFAULT_WAIT_SECONDS: u64 = 30;
+/// Interval between two outputs of `status --watch`.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
+/// Environment variable that replaces `--platform` where the option is not given.
 const PLATFORM_ENV: &str = "CICADASHIFT_PLATFORM";
-/// Environment variable that stands in for `--daemon`.
+/// Environment variable that replaces `--daemon` where the option is not given.
 const DAEMON_ENV: &str = "CICADASHIFT_DAEMON";
 
-/// What a command says in the end.
-pub struct Said {
+/// Output of a command that ran.
+pub struct Output {
+    /// Text for people.
     human: String,
+    /// JSON, for `--json`.
     machine: Value,
+    /// Exit code.
     code: i32,
 }
 
-/// A command's end.
-pub type Result = std::result::Result<Said, OperatorError>;
+/// Result of a command.
+pub type Result = std::result::Result<Output, OperatorError>;
 
-/// Why a client cannot be made.
+/// Reason why a client cannot be created.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Misuse {
-    /// An environment variable does not hold addresses.
+pub enum UsageError {
+    /// A part of an environment variable is not an address.
     Env { name: &'static str, part: String },
 }
 
-impl fmt::Display for Misuse {
+impl fmt::Display for UsageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Misuse::Env { name, part } => write!(f, "${name}: {part:?} is not IP:PORT"),
+            UsageError::Env { name, part } => {
+                write!(f, "${name}: {part:?} is not an address of the form IP:PORT")
+            }
         }
     }
 }
 
-impl std::error::Error for Misuse {}
+impl std::error::Error for UsageError {}
 
-/// What every command needs.
+/// Client of the platform and of daemons, with the options that all commands share.
 pub struct Client {
     platform: Etcd,
     daemons: Vec<SocketAddr>,
@@ -62,28 +67,28 @@
 }
 
 impl Client {
-    /// Makes a client from options and the environment.
+    /// Creates a client from options and the environment.
     ///
     /// # Errors
     ///
-    /// Returns [`Misuse`] where an address cannot be read.
+    /// Returns [`UsageError`] where an address is invalid.
     pub fn new(
         platform: &[SocketAddr],
         daemons: &[SocketAddr],
         json: bool,
-    ) -> std::result::Result<Client, Misuse> {
+    ) -> std::result::Result<Client, UsageError> {
         let platform = Etcd::new(addresses(platform, PLATFORM_ENV)?);
         let daemons = addresses(daemons, DAEMON_ENV)?;
         Ok(Client { platform, daemons, json, clock: SystemClock::new() })
     }
 
-    /// Prints what a command says; returns the exit code.
-    pub fn say(&self, said: Result) -> i32 {
-        match said {
-            Ok(said) => {
-                let text = if self.json { said.machine.to_string() } else { said.human };
+    /// Prints the result of a command; returns the exit code.
+    pub fn print(&self, result: Result) -> i32 {
+        match result {
+            Ok(output) => {
+                let text = if self.json { output.machine.to_string() } else { output.human };
                 println!("{}", text.trim_end());
-                said.code
+                output.code
             }
             Err(err) => {
                 if self.json {
@@ -91,8 +96,8 @@
                 }
                 eprintln!("error: {err}");
                 match err {
-                    OperatorError::Platform(PlatformError::Unset) => MISUSE,
-                    _ => NOT_DONE,
+                    OperatorError::Platform(PlatformError::Unset) => USAGE_ERROR,
+                    _ => FAILURE,
                 }
             }
         }
@@ -133,10 +138,10 @@
 
     /// `config show`.
     pub async fn show_config(&self, id: &str) -> Result {
-        let buf = change::text(&self.platform, id).await?;
+        let buf = change::config_text(&self.platform, id).await?;
         let machine: Value = serde_json::from_slice(&buf).unwrap_or_default();
         let human = serde_json::to_string_pretty(&machine).unwrap_or_default();
-        Ok(Said { human, machine, code: DONE })
+        Ok(Output { human, machine, code: SUCCESS })
     }
 
     /// `selector set`.
@@ -172,9 +177,9 @@
 
     /// `label set`.
     pub async fn set_labels(&self, host: &str, pairs: &[String]) -> Result {
-        let named = |why| OperatorError::Invalid { file: "label set".to_string(), why };
-        check_name("host", host).map_err(named)?;
-        let labels = parse_labels(pairs).map_err(named)?;
+        let invalid = |why| OperatorError::Invalid { file: "label set".to_string(), why };
+        check_name("host", host).map_err(invalid)?;
+        let labels = parse_labels(pairs).map_err(invalid)?;
         let op = Operation::SetLabels { host: host.to_string(), labels };
         self.change(op, None, false, None).await
     }
@@ -203,56 +208,57 @@
             let newest = fleet::newest(&status);
             let progress = fleet::Progress::of(&status, newest);
             if !watch || progress.late.is_empty() {
-                return Ok(Said { human, machine: status, code: DONE });
+                return Ok(Output { human, machine: status, code: SUCCESS });
             }
             println!("{human}{}\n", progress_text(&progress));
-            smol::Timer::after(WATCH_STEP).await;
+            smol::Timer::after(WATCH_INTERVAL).await;
         }
     }
 
     /// `rollouts`.
     pub async fn rollouts(&self) -> Result {
         let machine = rollouts::list(&self.daemons).await?;
-        Ok(Said { human: rollouts::render(&machine), machine, code: DONE })
+        Ok(Output { human: rollouts::render(&machine), machine, code: SUCCESS })
     }
 
     /// `organisation list`.
     pub async fn list_organisations(&self) -> Result {
         let machine = organisations::list(&self.daemons).await?;
-        Ok(Said { human: organisations::render(&machine), machine, code: DONE })
+        Ok(Output { human: organisations::render(&machine), machine, code: SUCCESS })
     }
 
     /// `organisation show`.
     pub async fn show_organisation(&self, name: &str) -> Result {
         let machine = organisations::show(&self.daemons, name).await?;
-        Ok(Said { human: organisations::render_one(&machine), machine, code: DONE })
+        Ok(Output { human: organisations::render_one(&machine), machine, code: SUCCESS })
     }
 
     /// `quarantine list`.
     pub async fn list_quarantine(&self) -> Result {
         let machine = quarantine::list(&self.daemons).await?;
-        Ok(Said { human: quarantine::render(&machine), machine, code: DONE })
+        Ok(Output { human: quarantine::render(&machine), machine, code: SUCCESS })
     }
 
     /// `quarantine lift`.
     pub async fn lift_quarantine(&self, call: &str) -> Result {
         let human = quarantine::lift(&self.daemons, call).await?;
         let machine = json!({"call": call, "said": human.trim_end()});
-        Ok(Said { human, machine, code: DONE })
+        Ok(Output { human, machine, code: SUCCESS })
     }
 
     /// `record`.
     pub async fn record(&self, quarter: Option<&str>, html: Option<&Path>) -> Result {
-        let quarter = quarter.map_or_else(|| record::present(self.clock.wall_ms()), str::to_string);
+        let quarter =
+            quarter.map_or_else(|| record::current_quarter(self.clock.wall_ms()), str::to_string);
         let rows = record::rows(&self.platform, &quarter).await?;
-        let sum = record::sum_up(&quarter, &rows);
-        let mut human = record::render(&sum);
+        let summary = record::summarise(&quarter, &rows);
+        let mut human = record::render(&summary);
         if let Some(file) = html {
-            let page = report::page(&sum, &rows);
+            let page = report::page(&summary, &rows);
             std::fs::write(file, page).map_err(|err| file_error(file, &err))?;
             human.push_str(&format!("written to {}\n", file.display()));
         }
-        Ok(Said { human, machine: json!({"summary": sum, "rows": rows}), code: DONE })
+        Ok(Output { human, machine: json!({"summary": summary, "rows": rows}), code: SUCCESS })
     }
 
     async fn change(
@@ -266,40 +272,40 @@
             return self.dry_run(&op).await;
         }
         let version = change::commit(&self.platform, &op, object, self.clock.wall_ms()).await?;
-        let said = Said {
+        let output = Output {
             human: format!("version {version}: {} is accepted", op.subject()),
             machine: json!({"version": version}),
-            code: DONE,
+            code: SUCCESS,
         };
         match wait {
-            None => Ok(said),
-            Some(time) => Ok(self.wait(version, time).await),
+            None => Ok(output),
+            Some(timeout) => Ok(self.wait(version, timeout).await),
         }
     }
 
-    async fn wait(&self, version: u64, time: Duration) -> Said {
-        let mut shown = usize::MAX;
-        let tell = |progress: &fleet::Progress| {
-            if progress.running != shown {
-                shown = progress.running;
+    async fn wait(&self, version: u64, timeout: Duration) -> Output {
+        let mut last_running = usize::MAX;
+        let on_progress = |progress: &fleet::Progress| {
+            if progress.running != last_running {
+                last_running = progress.running;
                 eprintln!("version {version}: {}", progress_text(progress));
             }
         };
-        match fleet::wait(&self.daemons, version, time, tell).await {
-            Ok(progress) => Said {
-                human: format!("version {version} is in force on {} proxies", progress.all),
+        match fleet::wait(&self.daemons, version, timeout, on_progress).await {
+            Ok(progress) => Output {
+                human: format!("version {version} is in force on {} proxies", progress.total),
                 machine: json!({"version": version, "running": progress.running, "late": []}),
-                code: DONE,
+                code: SUCCESS,
             },
-            Err(progress) => Said {
+            Err(progress) => Output {
                 human: format!(
-                    "version {version} is accepted and will not revert, but {}",
+                    "version {version} is accepted and will not be undone, but {}",
                     progress_text(&progress)
                 ),
                 machine: json!({
                     "version": version, "running": progress.running, "late": progress.late,
                 }),
-                code: NOT_DONE,
+                code: FAILURE,
             },
         }
     }
@@ -325,7 +331,7 @@
                 effect.changes.join(" ")
             ));
         }
-        Ok(Said { human, machine: json!({"effects": effects}), code: DONE })
+        Ok(Output { human, machine: json!({"effects": effects}), code: SUCCESS })
     }
 
     async fn snapshot(&self) -> std::result::Result<Snapshot, OperatorError> {
@@ -333,15 +339,15 @@
     }
 }
 
-fn list(snapshot: &Snapshot, human: impl Iterator<Item = String>, rows: Vec<Value>) -> Said {
+fn list(snapshot: &Snapshot, human: impl Iterator<Item = String>, rows: Vec<Value>) -> Output {
     let version = snapshot.head.version;
     let lines: Vec<String> = human.collect();
     let human = format!("version {version}, {} found\n{}", lines.len(), lines.join("\n"));
-    Said { human, machine: json!({"version": version, "items": rows}), code: DONE }
+    Output { human, machine: json!({"version": version, "items": rows}), code: SUCCESS }
 }
 
 fn progress_text(progress: &fleet::Progress) -> String {
-    let mut text = format!("{} of {} proxies run it", progress.running, progress.all);
+    let mut text = format!("{} of {} proxies run it", progress.running, progress.total);
     for (host, why) in &progress.late {
         text.push_str(&format!("\n  {host}: {why}"));
     }
@@ -367,7 +373,7 @@
 fn addresses(
     given: &[SocketAddr],
     env: &'static str,
-) -> std::result::Result<Vec<SocketAddr>, Misuse> {
+) -> std::result::Result<Vec<SocketAddr>, UsageError> {
     if !given.is_empty() {
         return Ok(given.to_vec());
     }
@@ -375,7 +381,7 @@
     text.split(',')
         .map(str::trim)
         .filter(|part| !part.is_empty())
-        .map(|part| part.parse().map_err(|_| Misuse::Env { name: env, part: part.to_string() }))
+        .map(|part| part.parse().map_err(|_| UsageError::Env { name: env, part: part.to_string() }))
         .collect()
 }
 
--- a/src/cli/flags.rs
+++ b/src/cli/flags.rs
@@ -1,11 +1,11 @@
 //! The grammar of the command line.
 //!
-//! The library names a command's type after its last word alone, so that
-//! commands that share a word, such as the `list` of configurations and of
-//! selectors, need modules of their own. Each grammar repeats the three options
-//! that every client command takes.
+//! `xflags` names the type of a command after its last word alone. Commands that share
+//! this word, such as the `list` of configurations and of selectors, therefore need
+//! modules of their own. Each of these modules repeats the three options that all its
+//! commands take.
 
-/// Commands without commands below them.
+/// Commands without subcommands.
 pub mod main {
     use std::net::SocketAddr;
     use std::path::PathBuf;
@@ -15,84 +15,84 @@
         ///
         /// Client commands take the platform's address from --platform or
         /// $CICADASHIFT_PLATFORM, and a daemon's from --daemon or
-        /// $CICADASHIFT_DAEMON. Exit codes: 0 done, 1 refused or not done, 2 misuse.
+        /// $CICADASHIFT_DAEMON. Exit codes: 0 success, 1 refused or failed, 2 usage error.
         cmd cicadashift {
             /// Run the daemon of this host until SIGTERM.
             cmd daemon {
                 /// Settings in JSON; docs/SETTINGS.md lists the fields.
                 required --settings file: PathBuf
             }
-            /// Look at settings: `settings check FILE` checks as `daemon` would, and starts nothing.
+            /// Check settings as `daemon` does, but start nothing: `settings check FILE`.
             cmd settings {
                 required action: String
                 required file: PathBuf
             }
-            /// Change and show configurations: `config --help` has more.
+            /// Change and show configurations: see `config --help`.
             cmd config {
                 repeated args: String
             }
-            /// Change and show selectors: `selector --help` has more.
+            /// Change and show selectors: see `selector --help`.
             cmd selector {
                 repeated args: String
             }
-            /// Change and show labels of proxies: `label --help` has more.
+            /// Change and show labels of proxies: see `label --help`.
             cmd label {
                 repeated args: String
             }
-            /// Show which proxies run what.
+            /// Show which version each proxy runs.
             cmd status {
-                /// Show it again every second until the newest version runs everywhere.
+                /// Print the status every second until the newest version runs everywhere.
                 optional --watch
-                /// Upstream port of a daemon to ask; several may be given.
+                /// Upstream port of a daemon to query; may be repeated.
                 repeated --daemon addr: SocketAddr
-                /// Write JSON for machines.
+                /// Write JSON.
                 optional --json
             }
-            /// Show calls that ended upstreams, and let them be sent again: `quarantine list`,
-            /// `quarantine lift CALL`.
+            /// Show calls suspected of ending upstreams, or lift the quarantine of one:
+            /// `quarantine list`, `quarantine lift CALL`.
             cmd quarantine {
                 required action: String
-                /// The call's digest, as `quarantine list` and the logs show it.
+                /// The digest of the call, as shown by `quarantine list` and in the logs.
                 optional call: String
-                /// Upstream port of a daemon to ask; several may be given.
+                /// Upstream port of a daemon to query; may be repeated.
                 repeated --daemon addr: SocketAddr
-                /// Write JSON for machines.
+                /// Write JSON.
                 optional --json
             }
-            /// Show organisations, what they may send and what they send now.
+            /// Show organisations with their quotas and present call rates.
             cmd organisation {
-                /// list, or show.
+                /// `list` or `show`.
                 required action: String
-                /// Its name, to show one by failure domain.
+                /// Name of the organisation to show, with its rate by failure domain.
                 optional name: String
-                /// Upstream port of a daemon to ask; several may be given.
+                /// Upstream port of a daemon to query; may be repeated.
                 repeated --daemon addr: SocketAddr
-                /// Write JSON for machines.
+                /// Write JSON.
                 optional --json
             }
-            /// Show how far rollouts of new versions are.
+            /// Show the progress of rollouts of new versions.
             cmd rollouts {
-                /// Upstream port of a daemon to ask; several may be given.
+                /// Upstream port of a daemon to query; may be repeated.
                 repeated --daemon addr: SocketAddr
-                /// Write JSON for machines.
+                /// Write JSON.
                 optional --json
             }
-            /// Tell the story of a request from the logs of the daemons that it passed.
+            /// Trace a request through the logs of daemons and name the cause of its failure.
             cmd explain {
-                /// The request's id.
+                /// The request id.
                 required request: String
-                /// Log files, of one daemon or of several each.
+                /// Log files; each may hold the lines of one or several daemons.
                 repeated files: PathBuf
             }
-            /// Show what was delivered in a quarter.
+            /// Show the delivery record of a quarter.
             cmd record {
-                /// Such as 2026Q4; the present one if not given.
+                /// The quarter, such as 2026Q4; defaults to the current one.
                 optional --quarter quarter: String
-                /// Write a page for customers to this file.
+                /// Also write an HTML page for customers to this file.
                 optional --html file: PathBuf
-                /// Address of the platform's service; several may be given.
+                /// Address of the platform's service; may be repeated.
                 repeated --platform addr: SocketAddr
-                /// Write JSON for machines.
+                /// Write JSON.
                 optional --json
             }
         }
@@ -107,32 +107,32 @@
     xflags::xflags! {
         /// Change and show configurations.
         cmd config {
-            /// Address of the platform's service; several may be given.
+            /// Address of the platform's service; may be repeated.
             repeated --platform addr: SocketAddr
-            /// Upstream port of a daemon to ask; several may be given.
+            /// Upstream port of a daemon to query; may be repeated.
             repeated --daemon addr: SocketAddr
-            /// Write JSON for machines.
+            /// Write JSON.
             optional --json
 
-            /// Accept a configuration, in place of any with its id.
+            /// Accept a configuration; it replaces the one with the same id, if any.
             cmd accept {
                 /// The configuration in JSON; docs/CONFIGURATION.md lists the fields.
                 required file: PathBuf
-                /// Only say which proxies it would reach and what would change there.
+                /// Only print which proxies it would reach and what would change there.
                 optional --dry-run
-                /// Return when every proxy runs it; exit 1 naming the late ones if not in time.
+                /// Wait until every proxy runs it; on a timeout list the late ones and exit with 1.
                 optional --wait
-                /// Seconds that --wait waits; 30 if not given.
+                /// Time limit of --wait in seconds; defaults to 30.
                 optional --seconds seconds: u64
             }
             /// Withdraw a configuration.
             cmd withdraw {
                 required id: String
-                /// Only say which proxies would lose it.
+                /// Only print which proxies would lose the configuration.
                 optional --dry-run
-                /// Return when every proxy has let go of it.
+                /// Wait until every proxy has dropped the configuration.
                 optional --wait
-                /// Seconds that --wait waits; 30 if not given.
+                /// Time limit of --wait in seconds; defaults to 30.
                 optional --seconds seconds: u64
             }
             /// List configurations with their labels.
@@ -153,18 +153,18 @@
     xflags::xflags! {
         /// Change and show selectors.
         cmd selector {
-            /// Address of the platform's service; several may be given.
+            /// Address of the platform's service; may be repeated.
             repeated --platform addr: SocketAddr
-            /// Upstream port of a daemon to ask; several may be given.
+            /// Upstream port of a daemon to query; may be repeated.
             repeated --daemon addr: SocketAddr
-            /// Write JSON for machines.
+            /// Write JSON.
             optional --json
 
-            /// Set a selector, in place of any with its name.
+            /// Set a selector; it replaces the one with the same name, if any.
             cmd set {
                 /// The selector in JSON; docs/CONFIGURATION.md lists the fields.
                 required file: PathBuf
-                /// Only say which proxies would change.
+                /// Only print which proxies would change.
                 optional --dry-run
             }
             /// Remove a selector.
@@ -182,13 +182,13 @@
     use std::net::SocketAddr;
 
     xflags::xflags! {
-        /// Change and show the labels that operators lay over those in the settings.
+        /// Change and show the labels that operators set on top of those in the settings.
         cmd label {
-            /// Address of the platform's service; several may be given.
+            /// Address of the platform's service; may be repeated.
             repeated --platform addr: SocketAddr
-            /// Upstream port of a daemon to ask; several may be given.
+            /// Upstream port of a daemon to query; may be repeated.
             repeated --daemon addr: SocketAddr
-            /// Write JSON for machines.
+            /// Write JSON.
             optional --json
 
             /// Set labels of a proxy, as KEY=VALUE.
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,7 +1,7 @@
 //! The command line.
 //!
-//! Exit codes: 0 done, 1 refused or not done, 2 misuse. Results go to standard
-//! output, errors to standard error. [`flags`] has the grammar, [`client`] the
+//! Exit codes: 0 success, 1 refused or failed, 2 usage error. Results go to standard
+//! output, errors to standard error. [`flags`] defines the grammar, [`client`] the
 //! operators' commands.
 
 pub mod client;
@@ -21,17 +21,17 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Done.
-pub const DONE: i32 = 0;
-/// Refused, or not done.
-pub const NOT_DONE: i32 = 1;
-/// The command line or the settings are wrong.
-pub const MISUSE: i32 = 2;
+/// Exit code of a command that succeeded.
+pub const SUCCESS: i32 = 0;
+/// Exit code of a command that was refused or failed.
+pub const FAILURE: i32 = 1;
+/// Exit code for an invalid command line or invalid settings.
+pub const USAGE_ERROR: i32 = 2;
 
-/// Threads of the client; the daemon's are in its settings.
+/// Threads of the client; the daemon's number of threads is a setting.
 const CLIENT_THREADS: usize = 1;
 
-/// Runs a command line without the program's name; returns the exit code.
+/// Runs a command line, given without the program's name; returns the exit code.
 pub fn run(mut args: Vec<OsString>) -> i32 {
     let group = args.first().and_then(|arg| arg.to_str()).unwrap_or_default().to_string();
     let result = match group.as_str() {
@@ -49,10 +49,10 @@
         CicadashiftCmd::Settings(flags) if flags.action == "check" => check_settings(&flags.file),
         CicadashiftCmd::Settings(flags) => {
             eprintln!(
-                "error: `settings {}` is no command; there is `settings check`",
+                "error: unknown command `settings {}`; the only one is `settings check`",
                 flags.action
             );
-            MISUSE
+            USAGE_ERROR
         }
         CicadashiftCmd::Status(flags) => {
             with_client(Client::new(&[], &flags.daemon, flags.json), async |cx: &Client| {
@@ -72,18 +72,18 @@
             })
         }
         CicadashiftCmd::Explain(flags) => match explain::explain(&flags.request, &flags.files) {
-            Ok(story) => {
-                print!("{story}");
-                DONE
+            Ok(report) => {
+                print!("{report}");
+                SUCCESS
             }
             Err(err) => {
                 eprintln!("error: {err}");
-                NOT_DONE
+                FAILURE
             }
         },
-        // `run` takes these away before they get here.
+        // `run` handles these commands itself.
         CicadashiftCmd::Config(_) | CicadashiftCmd::Selector(_) | CicadashiftCmd::Label(_) => {
-            MISUSE
+            USAGE_ERROR
         }
     }
 }
@@ -96,8 +96,8 @@
             with_client(cx, async |cx: &Client| cx.lift_quarantine(&call).await)
         }
         _ => {
-            eprintln!("error: there are `quarantine list` and `quarantine lift CALL`");
-            MISUSE
+            eprintln!("error: expected `quarantine list` or `quarantine lift CALL`");
+            USAGE_ERROR
         }
     }
 }
@@ -110,8 +110,8 @@
             with_client(cx, async |cx: &Client| cx.show_organisation(&name).await)
         }
         _ => {
-            eprintln!("error: there are `organisation list` and `organisation show NAME`");
-            MISUSE
+            eprintln!("error: expected `organisation list` or `organisation show NAME`");
+            USAGE_ERROR
         }
     }
 }
@@ -121,10 +121,10 @@
     let cx = Client::new(&flags.platform, &flags.daemon, flags.json);
     with_client(cx, async |cx: &Client| match &flags.subcommand {
         ConfigCmd::Accept(accept) => {
-            cx.accept(&accept.file, accept.dry_run, wait_for(accept.wait, accept.seconds)).await
+            cx.accept(&accept.file, accept.dry_run, wait_timeout(accept.wait, accept.seconds)).await
         }
         ConfigCmd::Withdraw(withdraw) => {
-            let wait = wait_for(withdraw.wait, withdraw.seconds);
+            let wait = wait_timeout(withdraw.wait, withdraw.seconds);
             cx.withdraw(&withdraw.id, withdraw.dry_run, wait).await
         }
         ConfigCmd::List(_) => cx.list_configs().await,
@@ -152,19 +152,19 @@
     })
 }
 
-fn wait_for(wait: bool, seconds: Option<u64>) -> Option<std::time::Duration> {
-    wait.then(|| std::time::Duration::from_secs(seconds.unwrap_or(client::WAIT_SECONDS)))
+fn wait_timeout(wait: bool, seconds: Option<u64>) -> Option<std::time::Duration> {
+    wait.then(|| std::time::Duration::from_secs(seconds.unwrap_or(client::DEFAULT_WAIT_SECONDS)))
 }
 
 fn with_client(
-    cx: Result<Client, client::Misuse>,
+    cx: Result<Client, client::UsageError>,
     command: impl AsyncFnOnce(&Client) -> client::Result,
 ) -> i32 {
     match cx {
-        Ok(cx) => cx.say(exec::run(CLIENT_THREADS, command(&cx))),
+        Ok(cx) => cx.print(exec::run(CLIENT_THREADS, command(&cx))),
         Err(err) => {
             eprintln!("error: {err}");
-            MISUSE
+            USAGE_ERROR
         }
     }
 }
@@ -174,67 +174,67 @@
         Ok(settings) => settings,
         Err(err) => {
             eprintln!("error: {err}");
-            return MISUSE;
+            return USAGE_ERROR;
         }
     };
     let handle = match logging::start(&settings.log) {
         Ok(handle) => handle,
         Err(err) => {
-            eprintln!("error: no log: {err}");
-            return NOT_DONE;
+            eprintln!("error: cannot start logging: {err}");
+            return FAILURE;
         }
     };
     let threads = settings.threads;
-    // Boxed, since the future of all of it would lie on the stack several times: 236 KB
-    // that are never given back.
-    let daemon = Box::pin(until_signal(settings, file, &handle));
+    // Boxed, since moving the daemon's future would leave several copies of it on the
+    // stack: 236 KB that are never returned to the system.
+    let daemon = Box::pin(run_until_signal(settings, file, &handle));
     let result = exec::run(threads, daemon);
     handle.flush();
     match result {
-        Ok(()) => DONE,
+        Ok(()) => SUCCESS,
         Err(err) => {
             eprintln!("error: {err:#}");
-            NOT_DONE
+            FAILURE
         }
     }
 }
 
-/// Runs a daemon until SIGTERM or SIGINT; a second one ends it at once. SIGHUP
-/// reads the settings again, and so does a change of the file.
-async fn until_signal(settings: Settings, file: &Path, log: &LoggerHandle) -> eyre::Result<()> {
+/// Runs a daemon until SIGTERM or SIGINT; a second such signal ends the process at once.
+/// The settings are reloaded on SIGHUP and when their file changes.
+async fn run_until_signal(settings: Settings, file: &Path, log: &LoggerHandle) -> eyre::Result<()> {
     use async_signal::{Signal, Signals};
     use smol::stream::StreamExt;
     let (stop, stopped) = server::stop_pair();
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     let reloader = Arc::new(Reloader::new(file, settings.clone(), log.clone()));
-    let watching = exec::spawn(reload::watch(reloader.clone()));
+    let file_watch = exec::spawn(reload::watch(reloader.clone()));
     let changes = reloader.changes();
-    let waiting = exec::spawn(async move {
+    let signal_task = exec::spawn(async move {
         let mut stop = Some(stop);
         while let Some(signal) = signals.next().await {
             match signal {
                 Ok(Signal::Hup) => reloader.reload("signal"),
                 Ok(_) if stop.is_some() => stop = None,
-                Ok(_) => std::process::exit(NOT_DONE),
-                Err(err) => log::warn!("a signal was lost: {err}"),
+                Ok(_) => std::process::exit(FAILURE),
+                Err(err) => log::warn!("failed to receive a signal: {err}"),
             }
         }
     });
     let result = daemon::run(settings, Arc::new(SystemClock::new()), stopped, changes).await;
-    waiting.cancel().await;
-    watching.cancel().await;
+    signal_task.cancel().await;
+    file_watch.cancel().await;
     result
 }
 
 fn check_settings(file: &Path) -> i32 {
     match Settings::read(file) {
         Ok(settings) => {
-            println!("{}: good settings for {}", file.display(), settings.host);
-            DONE
+            println!("{}: valid settings for {}", file.display(), settings.host);
+            SUCCESS
         }
         Err(err) => {
             eprintln!("error: {err}");
-            MISUSE
+            USAGE_ERROR
         }
     }
 }
--- a/src/cli/reload.rs
+++ b/src/cli/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the settings again while the daemon runs.
+//! Reloads the settings while the daemon runs.
 
 use crate::logging;
 use crate::settings::Settings;
@@ -8,11 +8,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Time between two looks at the file: it may change without a signal, and an
-/// operator who changed it waits for the effect.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which the modification time of the file is checked. The file may change
+/// without a signal, and an operator who changed it waits for the effect.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the settings again and hands on what changed.
+/// Reads the settings file again and passes changed settings on to the daemon.
 pub struct Reloader {
     file: PathBuf,
     current: Mutex<Settings>,
@@ -22,49 +22,49 @@
 }
 
 impl Reloader {
-    /// Begins with the settings that the daemon was started with.
+    /// Creates a reloader; `settings` are those that the daemon was started with.
     pub fn new(file: &Path, settings: Settings, log: LoggerHandle) -> Reloader {
         let (tx, rx) = smol::channel::unbounded();
         Reloader { file: file.to_path_buf(), current: Mutex::new(settings), log, tx, rx }
     }
 
-    /// Returns where changed settings arrive.
+    /// Returns the channel on which changed settings arrive.
     pub fn changes(&self) -> Receiver<Settings> {
         self.rx.clone()
     }
 
-    /// Reads the file; bad settings leave the old ones in force.
-    pub fn reload(&self, why: &str) {
+    /// Reads the file; if it is invalid, the previous settings stay in force.
+    pub fn reload(&self, trigger: &str) {
         let settings = match Settings::read(&self.file) {
             Ok(settings) => settings,
-            Err(err) => return log::error!("reload ({why}): the old settings stay: {err}"),
+            Err(err) => return log::error!("reload ({trigger}): the old settings stay: {err}"),
         };
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
         if *current == settings {
-            return log::info!("reload ({why}): nothing changed");
+            return log::info!("reload ({trigger}): nothing changed");
         }
         if current.log != settings.log {
             self.log.set_new_spec(logging::specification(&settings.log));
         }
         *current = settings.clone();
-        let _daemon_ends = self.tx.try_send(settings);
-        log::info!("reload ({why}): done");
+        let _receiver_gone = self.tx.try_send(settings);
+        log::info!("reload ({trigger}): done");
     }
 }
 
-/// Reloads when the file has changed, until cancelled.
+/// Reloads the settings each time the file has changed, until cancelled.
 pub async fn watch(reloader: Arc<Reloader>) {
-    let mut seen = modified(&reloader.file);
+    let mut last_modified = modified_at(&reloader.file);
     loop {
-        smol::Timer::after(LOOK_EVERY).await;
-        let now = modified(&reloader.file);
-        if now != seen && now.is_some() {
-            seen = now;
+        smol::Timer::after(POLL_INTERVAL).await;
+        let modified = modified_at(&reloader.file);
+        if modified != last_modified && modified.is_some() {
+            last_modified = modified;
             reloader.reload("file");
         }
     }
 }
 
-fn modified(file: &Path) -> Option<std::time::SystemTime> {
+fn modified_at(file: &Path) -> Option<std::time::SystemTime> {
     std::fs::metadata(file).and_then(|meta| meta.modified()).ok()
 }
--- a/src/operator/change.rs
+++ b/src/operator/change.rs
@@ -12,23 +12,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Times an operation is tried against racing operators and lost answers.
-const ATTEMPTS: u32 = 8;
-/// Longest first pause between two attempts; doubles with each.
-const PAUSE: Duration = Duration::from_millis(60);
-/// Largest value, as the platform's owners give it.
-const MAX_VALUE: usize = 1 << 20;
+/// Attempts at one operation, against concurrent operators and lost answers.
+const MAX_ATTEMPTS: u32 = 8;
+/// Base of the backoff between two attempts, which doubles with each attempt.
+const BASE_BACKOFF: Duration = Duration::from_millis(60);
+/// Largest value that the platform stores, as its owners state.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// All of one version, as the platform holds it.
+/// The complete contents of one version on the platform.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The head.
     pub head: Head,
-    /// When the head last changed.
+    /// Revision of the last change of the head.
     pub revision: Revision,
-    /// Its contents.
+    /// The contents of the version.
     pub manifest: Manifest,
-    /// Hashes of the pages that it is made of.
+    /// Hashes of the pages that the manifest consists of.
     pages: BTreeSet<ObjectHash>,
 }
 
@@ -36,8 +36,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`OperatorError`] where the platform does not answer or a page is
-/// missing.
+/// Returns [`OperatorError`] where the platform does not answer, or where the head or a
+/// page is missing or damaged.
 pub async fn snapshot(platform: &impl Platform) -> Result<Snapshot, OperatorError> {
     let Some(pair) = platform.get(keys::HEAD).await? else { return Ok(Snapshot::default()) };
     let head: Head = serde_json::from_slice(&pair.value)
@@ -46,8 +46,8 @@
         return Ok(Snapshot { head, revision: pair.revision, ..Snapshot::default() });
     };
     let root: Root = decode(&fetch(platform, &[root_hash]).await?, root_hash)?;
-    let names = root.all_pages();
-    let objects = fetch(platform, &names).await?;
+    let page_hashes = root.all_pages();
+    let objects = fetch(platform, &page_hashes).await?;
     let mut manifest = Manifest::default();
     for hash in root.configs {
         manifest.configs.extend(decode::<ConfigPage>(&objects, hash)?);
@@ -56,7 +56,7 @@
         manifest.labels.extend(decode::<LabelPage>(&objects, hash)?);
     }
     manifest.selectors = decode::<SelectorPage>(&objects, root.selectors)?;
-    let pages = names.into_iter().collect();
+    let pages = page_hashes.into_iter().collect();
     Ok(Snapshot { head, revision: pair.revision, manifest, pages })
 }
 
@@ -64,8 +64,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`OperatorError::NotFound`] where there is none with this id.
-pub async fn text(platform: &impl Platform, id: &str) -> Result<Vec<u8>, OperatorError> {
+/// Returns [`OperatorError::NotFound`] where no configuration has this id.
+pub async fn config_text(platform: &impl Platform, id: &str) -> Result<Vec<u8>, OperatorError> {
     let snapshot = snapshot(platform).await?;
     let missing = || OperatorError::NotFound(format!("configuration {id:?}"));
     let entry = snapshot.manifest.configs.get(id).ok_or_else(missing)?;
@@ -88,15 +88,16 @@
     Ok(rosters.flat_map(|roster| roster.services).collect())
 }
 
-/// Parses a configuration and makes the operation that accepts it.
+/// Parses a configuration and returns the operation that accepts it, the parsed
+/// configuration and the object to store.
 ///
 /// # Errors
 ///
-/// Returns [`Invalid`] for what no proxy could run.
+/// Returns [`Invalid`] for a configuration that no proxy could run.
 pub fn prepare_accept(buf: &[u8]) -> Result<(Operation, Config, Object), Invalid> {
     let cfg = Config::parse(buf)?;
-    // Hashes are of the text as it was checked, without an operator's spacing,
-    // so that the same configuration is the same object.
+    // The hash covers the configuration as serialised here, not the operator's file with
+    // its spacing, so that equal configurations are the same object.
     let buf = serde_json::to_vec(&cfg).map_err(|err| Invalid::Json(err.to_string()))?;
     let hash = ObjectHash::of(&buf);
     let entry = ConfigEntry {
@@ -108,14 +109,14 @@
     Ok((Operation::Accept(entry), cfg, (hash, buf)))
 }
 
-/// Checks that every service a configuration routes to has been announced.
+/// Checks that all services that a configuration routes to have been announced.
 ///
 /// # Errors
 ///
-/// Returns [`Invalid::UnknownService`] for the first that has not.
-pub fn check_services(cfg: &Config, known: &BTreeSet<String>) -> Result<(), Invalid> {
+/// Returns [`Invalid::UnknownService`] for the first service that has not.
+pub fn check_services(cfg: &Config, announced: &BTreeSet<String>) -> Result<(), Invalid> {
     for route in &cfg.routes {
-        if let Some(service) = route.services().find(|service| !known.contains(*service)) {
+        if let Some(service) = route.services().find(|service| !announced.contains(*service)) {
             let (config, service) = (cfg.id.clone(), service.to_string());
             return Err(Invalid::UnknownService { config, service });
         }
@@ -123,50 +124,50 @@
     Ok(())
 }
 
-/// Carries an operation out and returns the version that it made.
+/// Commits an operation and returns the version that it created.
 ///
 /// # Errors
 ///
-/// Returns [`OperatorError`]. After `Refused` and `Invalid` nothing has changed.
-/// Only [`cicadashift_core::delivery::head::Refused::Unsettled`] and a platform
-/// whose answers stay lost leave that open, and say so.
+/// Returns [`OperatorError`]. After `Refused` and `Invalid` nothing has changed, except
+/// that [`cicadashift_core::delivery::head::Refused::Unsettled`] and the errors of a
+/// platform whose answers stay lost leave open whether the operation took effect.
 pub async fn commit(
     platform: &impl Platform,
     op: &Operation,
-    extra: Option<Object>,
+    config_object: Option<Object>,
     wall_ms: u64,
 ) -> Result<Version, OperatorError> {
     let op_id = format!("{:016x}", fastrand::u64(..));
-    let first = snapshot_patiently(platform).await?;
+    let first = snapshot_with_retry(platform).await?;
     let (base, mut now) = (first.clone(), first);
-    for attempt in 0..ATTEMPTS {
+    for attempt in 0..MAX_ATTEMPTS {
         if attempt > 0 {
-            let pause = PAUSE * 2_u32.pow(attempt.min(5));
+            let pause = BASE_BACKOFF * 2_u32.pow(attempt.min(5));
             smol::Timer::after(pause.mul_f64(fastrand::f64())).await;
-            now = snapshot_patiently(platform).await?;
+            now = snapshot_with_retry(platform).await?;
             match settle(&now.head, &op_id, base.head.version)? {
                 Settled::Done(version) => return Ok(version),
                 Settled::Retry => refuse_if_raced(op, &base, &now)?,
             }
         }
-        match attempt_once(platform, op, &extra, &now, &op_id, wall_ms).await {
+        match try_commit(platform, op, &config_object, &now, &op_id, wall_ms).await {
             Ok(Some(version)) => return Ok(version),
             Ok(None) => {}
-            Err(OperatorError::Platform(err)) if may_pass(&err) => {}
+            Err(OperatorError::Platform(err)) if is_transient(&err) => {}
             Err(err) => return Err(err),
         }
     }
-    Err(OperatorError::Busy(ATTEMPTS))
+    Err(OperatorError::AttemptsExhausted(MAX_ATTEMPTS))
 }
 
-/// Writes objects, then swaps the head; `None` if the head had changed.
+/// Writes the objects, then swaps the head; returns `None` if the head had changed.
 ///
-/// Objects go first: a crash in between leaves objects that nobody names, which
-/// readers collect by age, and never a head that names what is not there.
-async fn attempt_once(
+/// The objects are written first: a crash in between leaves unreferenced objects, which
+/// readers delete by age, and never a head that refers to missing objects.
+async fn try_commit(
     platform: &impl Platform,
     op: &Operation,
-    extra: &Option<Object>,
+    config_object: &Option<Object>,
     now: &Snapshot,
     op_id: &str,
     wall_ms: u64,
@@ -179,12 +180,12 @@
     let root_buf = manifest::encode(&root);
     let root_hash = ObjectHash::of(&root_buf);
     objects.push((root_hash, root_buf));
-    objects.extend(extra.clone());
+    objects.extend(config_object.clone());
     let mut pairs: Vec<(String, Vec<u8>)> =
         objects.into_iter().map(|(hash, buf)| (keys::object(hash), buf)).collect();
     pairs.sort();
     pairs.dedup();
-    if let Some((_, buf)) = pairs.iter().find(|(_, buf)| buf.len() > MAX_VALUE) {
+    if let Some((_, buf)) = pairs.iter().find(|(_, buf)| buf.len() > MAX_VALUE_BYTES) {
         return Err(OperatorError::TooLarge(buf.len()));
     }
     platform.put_many(&pairs).await?;
@@ -196,15 +197,15 @@
     }
 }
 
-/// Reads the newest version, also through a short outage: an operation whose
-/// answer was lost must be settled if that is possible at all.
-async fn snapshot_patiently(platform: &impl Platform) -> Result<Snapshot, OperatorError> {
-    let mut last = Err(OperatorError::Busy(0));
-    for attempt in 0..ATTEMPTS {
+/// Reads the newest version, retrying through a short outage: whether an operation whose
+/// answer was lost took effect can only be determined from the head.
+async fn snapshot_with_retry(platform: &impl Platform) -> Result<Snapshot, OperatorError> {
+    let mut last = Err(OperatorError::AttemptsExhausted(0));
+    for attempt in 0..MAX_ATTEMPTS {
         last = snapshot(platform).await;
         match &last {
-            Err(OperatorError::Platform(err)) if may_pass(err) => {
-                smol::Timer::after(PAUSE * 2_u32.pow(attempt.min(4))).await;
+            Err(OperatorError::Platform(err)) if is_transient(err) => {
+                smol::Timer::after(BASE_BACKOFF * 2_u32.pow(attempt.min(4))).await;
             }
             _ => return last,
         }
@@ -223,7 +224,7 @@
     Ok(())
 }
 
-fn may_pass(err: &PlatformError) -> bool {
+fn is_transient(err: &PlatformError) -> bool {
     !matches!(err, PlatformError::Unset | PlatformError::Protocol(_))
 }
 
@@ -231,8 +232,8 @@
     platform: &impl Platform,
     hashes: &[ObjectHash],
 ) -> Result<BTreeMap<ObjectHash, Vec<u8>>, OperatorError> {
-    let names: Vec<String> = hashes.iter().map(|hash| keys::object(*hash)).collect();
-    let pairs = platform.get_many(&names).await?;
+    let object_keys: Vec<String> = hashes.iter().map(|hash| keys::object(*hash)).collect();
+    let pairs = platform.get_many(&object_keys).await?;
     let mut out = BTreeMap::new();
     for pair in pairs {
         let hash = pair.key.strip_prefix(keys::OBJECTS).and_then(ObjectHash::from_hex);
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -1,4 +1,4 @@
-//! What daemons tell of the fleet.
+//! The status of the fleet, as daemons report it.
 
 use super::OperatorError;
 use bytes::Bytes;
@@ -12,34 +12,34 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Proxies as selectors see them.
+/// Proxies, with the fields that selectors match.
 pub type Proxies = Vec<Proxy>;
 
-/// Time for a daemon to ask all others.
-const STATUS_TIME: Duration = Duration::from_secs(5);
-/// Largest status taken in.
-const MAX_STATUS: usize = 16 << 20;
-/// Time between two looks at a roll-out.
-const WATCH_STEP: Duration = Duration::from_millis(200);
+/// Time limit for a daemon to query all others.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest answer of a daemon that is accepted.
+const MAX_STATUS_BYTES: usize = 16 << 20;
+/// Interval between two status queries while waiting for a version.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Asks the first of these daemons that answers for the fleet's status.
+/// Returns the fleet's status from the first of these daemons that answers.
 ///
 /// # Errors
 ///
 /// Returns [`OperatorError::NoDaemon`] where none answers.
 pub async fn status(daemons: &[SocketAddr]) -> Result<Value, OperatorError> {
-    json_of(daemons, "/v1/status").await
+    fetch_json(daemons, "/v1/status").await
 }
 
-/// Asks these daemons in turn for something in JSON until one answers with it.
+/// Requests a path from these daemons in turn; returns the first answer in JSON.
 ///
 /// # Errors
 ///
-/// Returns [`OperatorError::NoDaemon`] where none does.
-pub async fn json_of(daemons: &[SocketAddr], path: &str) -> Result<Value, OperatorError> {
-    let mut last = OperatorError::NoDaemon("none named".to_string());
+/// Returns [`OperatorError::NoDaemon`] where none answers in JSON.
+pub async fn fetch_json(daemons: &[SocketAddr], path: &str) -> Result<Value, OperatorError> {
+    let mut last = OperatorError::NoDaemon("no address given".to_string());
     for daemon in daemons {
-        match ask(*daemon, Method::GET, path).await {
+        match send_request(*daemon, Method::GET, path).await {
             Ok(res) => match serde_json::from_slice(res.body()) {
                 Ok(value) => return Ok(value),
                 Err(err) => last = OperatorError::NoDaemon(err.to_string()),
@@ -50,24 +50,24 @@
     Err(last)
 }
 
-/// Asks a daemon.
+/// Sends a request without a body to a daemon.
 ///
 /// # Errors
 ///
 /// Returns [`OperatorError::NoDaemon`] where it does not answer.
-pub async fn ask(
+pub async fn send_request(
     daemon: SocketAddr,
     method: Method,
     path: &str,
 ) -> Result<Response<Bytes>, OperatorError> {
-    let none = |why: String| OperatorError::NoDaemon(format!("{daemon}: {why}"));
+    let no_answer = |why: String| OperatorError::NoDaemon(format!("{daemon}: {why}"));
     let req = Request::builder().method(method).uri(path).header("host", "daemon");
-    let req = req.body(body::empty()).map_err(|err| none(err.to_string()))?;
-    let answer = Pool::new(1).exchange(daemon, req, MAX_STATUS, STATUS_TIME).await;
-    answer.map_err(|err| none(err.to_string()))
+    let req = req.body(body::empty()).map_err(|err| no_answer(err.to_string()))?;
+    let answer = Pool::new(1).exchange(daemon, req, MAX_STATUS_BYTES, STATUS_TIMEOUT).await;
+    answer.map_err(|err| no_answer(err.to_string()))
 }
 
-/// Returns the proxies that answered, with what selectors see of each.
+/// Returns the proxies that answered, with the fields that selectors match.
 pub fn proxies(status: &Value) -> Proxies {
     hosts(status)
         .filter_map(|host| serde_json::from_value::<ProxyStatus>(host["proxy"].clone()).ok())
@@ -80,23 +80,23 @@
         .collect()
 }
 
-/// How far a version has come.
+/// Progress of a version through the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// Proxies that run it or a newer one.
+    /// Proxies that run the version or a newer one.
     pub running: usize,
-    /// Proxies known.
-    pub all: usize,
-    /// Those that do not, with the reason as far as it is known.
+    /// Known proxies that are not dead.
+    pub total: usize,
+    /// Proxies that run an older version, with the reason as far as it is known.
     pub late: Vec<(String, String)>,
 }
 
 impl Progress {
-    /// Reads the progress of a version out of a status.
+    /// Returns the progress of a version according to a fleet's status.
     pub fn of(status: &Value, version: Version) -> Progress {
-        let mut progress = Progress { running: 0, all: 0, late: Vec::new() };
+        let mut progress = Progress { running: 0, total: 0, late: Vec::new() };
         for host in hosts(status).filter(|host| host["health"] != "Dead") {
-            progress.all += 1;
+            progress.total += 1;
             if host["running"].as_u64().unwrap_or(0) >= version {
                 progress.running += 1;
                 continue;
@@ -108,42 +108,42 @@
     }
 }
 
-/// Waits until every proxy runs a version, telling the progress.
+/// Waits until every proxy runs a version; calls `on_progress` after each query.
 ///
 /// # Errors
 ///
-/// Returns the last progress where the time is up first.
+/// Returns the last progress where the timeout expires first.
 pub async fn wait(
     daemons: &[SocketAddr],
     version: Version,
-    time: Duration,
-    mut tell: impl FnMut(&Progress),
+    timeout: Duration,
+    mut on_progress: impl FnMut(&Progress),
 ) -> Result<Progress, Progress> {
-    let until = Instant::now() + time;
+    let deadline = Instant::now() + timeout;
     loop {
         let progress = match status(daemons).await {
             Ok(status) => Progress::of(&status, version),
             Err(err) => {
-                Progress { running: 0, all: 0, late: vec![("fleet".into(), err.to_string())] }
+                Progress { running: 0, total: 0, late: vec![("fleet".into(), err.to_string())] }
             }
         };
-        tell(&progress);
-        if progress.all > 0 && progress.late.is_empty() {
+        on_progress(&progress);
+        if progress.total > 0 && progress.late.is_empty() {
             return Ok(progress);
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Err(progress);
         }
-        smol::Timer::after(WATCH_STEP).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Returns the newest version that any daemon knows.
+/// Returns the newest version that any daemon knows of.
 pub fn newest(status: &Value) -> Version {
     hosts(status).filter_map(|host| host["newest"].as_u64()).max().unwrap_or(0)
 }
 
-/// Writes a status for people.
+/// Renders a status as text.
 pub fn render(status: &Value) -> String {
     let mut out = String::new();
     let mut domains: BTreeMap<&str, Vec<&Value>> = BTreeMap::new();
@@ -168,9 +168,9 @@
         .filter_map(|host| host["host"].as_str())
         .collect();
     let reader = if readers.is_empty() { "no reader".to_string() } else { readers.join(", ") };
-    let cut = if answered == 0 { "  CUT OFF" } else { "" };
+    let cut_off = if answered == 0 { "  CUT OFF" } else { "" };
     let mut out = format!(
-        "\n{domain}: {current} of {} run it, {answered} answered, reader: {reader}{cut}\n",
+        "\n{domain}: {current} of {} run it, {answered} answered, reader: {reader}{cut_off}\n",
         hosts.len()
     );
     for host in hosts {
@@ -195,6 +195,7 @@
     out
 }
 
+/// Returns why a host does not run a version.
 fn reason(host: &Value, version: Version) -> String {
     let key = version.to_string();
     if host["answered"] != true {
@@ -207,10 +208,12 @@
         return why.to_string();
     }
     if host["floor"].is_null() && host["running"] == 0 {
-        return "nobody can vouch for a version it may run; it refuses calls".to_string();
+        return "neither the store nor a majority of witnesses has confirmed which version it may \
+                run; it refuses calls"
+            .to_string();
     }
     if host["held"].as_u64().unwrap_or(0) >= version {
-        return "holds it, no majority of witnesses has promised it".to_string();
+        return "holds it, but no majority of witnesses has promised it".to_string();
     }
     "does not hold it yet".to_string()
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,8 +1,9 @@
-//! The operators' client: what changes the configuration, and what shows it.
+//! The operators' client: changes the configuration and shows its state.
 //!
-//! Changes go to the platform by compare-and-swap ([`change`]); what is in force
-//! is asked of a daemon ([`fleet`], [`organisations`], [`quarantine`], [`rollouts`]); the
-//! delivery record is read from the platform ([`record`]). [`crate::cli`] turns the command line into calls here.
+//! Changes go to the platform by compare-and-swap ([`change`]). The state in force is
+//! queried from a daemon ([`fleet`], [`organisations`], [`quarantine`], [`rollouts`]). The
+//! delivery record is read from the platform ([`record`]). [`crate::cli`] turns the command
+//! line into calls of this module.
 
 pub mod change;
 pub mod fleet;
@@ -18,26 +19,26 @@
 use cicadashift_core::delivery::head::Refused;
 use std::fmt;
 
-/// Why a command is refused or not done.
+/// Reason why a command is refused or fails.
 #[derive(Debug)]
 pub enum OperatorError {
     /// The input is not valid.
     Invalid { file: String, why: Invalid },
     /// A file cannot be read or written.
     File { path: String, why: String },
-    /// The change cannot take effect.
+    /// The operation does not take effect.
     Refused(Refused),
-    /// The platform did not do it.
+    /// A call to the platform has no result.
     Platform(PlatformError),
-    /// The platform holds something that is not ours, or is damaged.
+    /// A value on the platform is missing, damaged or not written by this program.
     Damaged(String),
-    /// Other operators were faster each time.
-    Busy(u32),
+    /// The change was not confirmed within this number of attempts.
+    AttemptsExhausted(u32),
     /// No daemon answered.
     NoDaemon(String),
-    /// A value is larger than the platform takes.
+    /// A value of this many bytes is larger than the platform allows.
     TooLarge(usize),
-    /// There is no such thing.
+    /// The named item does not exist.
     NotFound(String),
 }
 
@@ -50,20 +51,24 @@
             OperatorError::File { path, why } => write!(f, "{path}: {why}"),
             OperatorError::Refused(refused) => write!(f, "{refused}"),
             OperatorError::Platform(PlatformError::Unset) => write!(f, "{}", PlatformError::Unset),
-            OperatorError::Platform(err) => {
-                write!(f, "{err}; nothing more was tried, run the command again when it is back")
-            }
+            OperatorError::Platform(err) => write!(
+                f,
+                "{err}; no further attempt was made, run the command again when the platform is \
+                 available"
+            ),
             OperatorError::Damaged(what) => {
                 write!(f, "the platform's {what} is damaged; see docs/OPERATIONS.md")
             }
-            OperatorError::Busy(times) => {
-                write!(f, "other operators were faster {times} times; run the command again")
-            }
+            OperatorError::AttemptsExhausted(attempts) => write!(
+                f,
+                "the change was not confirmed in {attempts} attempts, since other operators made \
+                 changes at the same time or the platform was unavailable; run the command again"
+            ),
             OperatorError::NoDaemon(why) => {
                 write!(f, "no daemon answered ({why}); name another with --daemon")
             }
             OperatorError::TooLarge(len) => {
-                write!(f, "{len} bytes are over the platform's limit of a megabyte; split it")
+                write!(f, "a value of {len} bytes is over the platform's limit of 1 MiB; split it")
             }
             OperatorError::NotFound(what) => {
                 write!(f, "{what} does not exist; `list` shows what does")
--- a/src/operator/organisations.rs
+++ b/src/operator/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations and their quotas, as operators see them.
+//! The status of organisations and their quotas, summed over daemons.
 
 use super::{OperatorError, fleet};
 use serde_json::{Value, json};
@@ -6,33 +6,35 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// What all daemons that answered say of one organisation.
+/// Status of one organisation, summed over the daemons that answered.
 #[derive(Clone, Debug, Default)]
-struct Sum {
+struct Totals {
     limit: Option<(u64, u64)>,
     priority: u64,
     admitted_per_s: f64,
-    /// What keepers count; one more where the mesh is split.
+    /// Calls per second as counted by keepers. While the mesh is partitioned, there may be
+    /// several keepers, whose counts are added.
     offered_per_s: f64,
     keepers: Vec<String>,
-    /// Smallest share of its calls that a daemon admits.
+    /// Smallest share of the organisation's calls that any of the daemons admits.
     least_share: f64,
     by_domain: BTreeMap<String, f64>,
     daemons: u64,
 }
 
-/// Returns all organisations, summed over the daemons that answer the first of these.
+/// Returns the status of all organisations. It comes from the first of these daemons that
+/// answers, which queries all others.
 ///
 /// # Errors
 ///
 /// Returns [`OperatorError::NoDaemon`] where none answers.
 pub async fn list(daemons: &[SocketAddr]) -> Result<Value, OperatorError> {
-    let hosts = fleet::json_of(daemons, "/v1/organisations").await?;
-    let sums = sum_up(&hosts);
-    Ok(sums.iter().map(|(name, sum)| sum.to_json(name)).collect::<Vec<_>>().into())
+    let hosts = fleet::fetch_json(daemons, "/v1/organisations").await?;
+    let totals = total_by_name(&hosts);
+    Ok(totals.iter().map(|(name, total)| total.to_json(name)).collect::<Vec<_>>().into())
 }
 
-/// Returns one organisation.
+/// Returns the status of one organisation.
 ///
 /// # Errors
 ///
@@ -44,18 +46,18 @@
     row.cloned().ok_or_else(|| OperatorError::NotFound(format!("organisation {name}")))
 }
 
-fn sum_up(answer: &Value) -> BTreeMap<String, Sum> {
-    let mut sums: BTreeMap<String, Sum> = BTreeMap::new();
+fn total_by_name(answer: &Value) -> BTreeMap<String, Totals> {
+    let mut totals: BTreeMap<String, Totals> = BTreeMap::new();
     for host in answer["hosts"].as_array().into_iter().flatten() {
         for row in host["organisations"].as_array().into_iter().flatten() {
             let Some(name) = row["name"].as_str() else { continue };
-            sums.entry(name.to_string()).or_default().add(host, row);
+            totals.entry(name.to_string()).or_default().add(host, row);
         }
     }
-    sums
+    totals
 }
 
-impl Sum {
+impl Totals {
     fn add(&mut self, host: &Value, row: &Value) {
         let text = |value: &Value| value.as_str().unwrap_or("?").to_string();
         let share = row["share"].as_f64().unwrap_or(1.0);
@@ -90,33 +92,34 @@
     }
 }
 
-/// Renders what [`list()`] returned, an organisation a line.
+/// Renders the result of [`list()`] as text, one organisation per line.
 pub fn render(list: &Value) -> String {
     let rows = list.as_array().map(Vec::as_slice).unwrap_or_default();
     let mut out = format!("{} organisations\n", rows.len());
     for row in rows {
-        // Writing to a string does not fail.
-        let _written = writeln!(out, "{}", line(row));
+        // Writing to a string cannot fail.
+        let _written = writeln!(out, "{}", summary_line(row));
     }
     out
 }
 
-/// Renders one organisation, with what each failure domain admits.
+/// Renders one organisation as text, with the calls per second that each failure domain
+/// admits.
 pub fn render_one(row: &Value) -> String {
-    let mut out = format!("{}\n", line(row));
+    let mut out = format!("{}\n", summary_line(row));
     let keepers: Vec<_> =
         row["keepers"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
-    let kept =
+    let counted_by =
         if keepers.is_empty() { "nobody, it is not used".into() } else { keepers.join(", ") };
-    // Writing to a string does not fail.
-    let _written = writeln!(out, "  counted by {kept}; {} daemons answered", row["daemons"]);
+    // Writing to a string cannot fail.
+    let _written = writeln!(out, "  counted by {counted_by}; {} daemons answered", row["daemons"]);
     for (domain, rate) in row["admitted_per_s_by_domain"].as_object().into_iter().flatten() {
         let _written = writeln!(out, "  {domain}: {rate} a second");
     }
     out
 }
 
-fn line(row: &Value) -> String {
+fn summary_line(row: &Value) -> String {
     let name = row["name"].as_str().unwrap_or("?");
     let admitted = &row["admitted_per_s"];
     let limit = match row["rate_per_s"].as_u64() {
@@ -124,9 +127,9 @@
         None => "a second, no limit".to_string(),
     };
     let share = row["least_share"].as_f64().unwrap_or(1.0);
-    let held = match share < 1.0 {
+    let throttled = match share < 1.0 {
         true => format!(", HELD BACK to {:.0} in 100 of {}", share * 100.0, row["offered_per_s"]),
         false => String::new(),
     };
-    format!("{name}: rank {}, {admitted} {limit}{held}", row["priority"])
+    format!("{name}: rank {}, {admitted} {limit}{throttled}", row["priority"])
 }
--- a/src/operator/plan.rs
+++ b/src/operator/plan.rs
@@ -1,42 +1,46 @@
-//! What a change would do, before anyone accepts it.
+//! The effects of a change, computed before it is committed.
 
 use super::change::Snapshot;
 use super::fleet::Proxies;
 use cicadashift_core::delivery::head::{Operation, Refused};
 use serde::Serialize;
 
-/// What a change would do to one proxy.
+/// Effect of a change on one proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Effect {
-    /// The proxy's host.
+    /// The host of the proxy.
     pub host: String,
-    /// Its failure domain.
+    /// The failure domain of the proxy.
     pub domain: String,
-    /// Configurations it would run that it does not run now.
+    /// Configurations that the proxy would run and does not run now.
     pub gains: Vec<String>,
-    /// Configurations it would no longer run.
+    /// Configurations that the proxy would no longer run.
     pub loses: Vec<String>,
     /// Configurations whose text would change.
     pub changes: Vec<String>,
 }
 
 impl Effect {
-    fn is_none(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.gains.is_empty() && self.loses.is_empty() && self.changes.is_empty()
     }
 }
 
-/// Returns the proxies that a change would reach, with what changes on each.
+/// Returns the effect of a change on each proxy where it has one.
 ///
 /// # Errors
 ///
-/// Returns [`Refused`] where the change cannot be applied at all.
-pub fn effects(now: &Snapshot, op: &Operation, proxies: &Proxies) -> Result<Vec<Effect>, Refused> {
-    let mut after = now.manifest.clone();
+/// Returns [`Refused`] where the change cannot be applied.
+pub fn effects(
+    snapshot: &Snapshot,
+    op: &Operation,
+    proxies: &Proxies,
+) -> Result<Vec<Effect>, Refused> {
+    let mut after = snapshot.manifest.clone();
     op.apply(&mut after)?;
     let mut out = Vec::new();
     for proxy in proxies {
-        let old = now.manifest.selected(proxy);
+        let old = snapshot.manifest.selected(proxy);
         let new = after.selected(proxy);
         let effect = Effect {
             host: proxy.host.clone(),
@@ -47,7 +51,7 @@
                 .iter()
                 .filter(|e| old.iter().any(|o| o.id == e.id && o.hash != e.hash))),
         };
-        if !effect.is_none() {
+        if !effect.is_empty() {
             out.push(effect);
         }
     }
--- a/src/operator/quarantine.rs
+++ b/src/operator/quarantine.rs
@@ -1,4 +1,5 @@
-//! Calls that daemons send to no upstream, as operators see and lift them.
+//! Lists quarantined and suspected calls and lifts quarantines. Daemons send a quarantined
+//! call to no upstream.
 
 use super::{OperatorError, fleet};
 use cicadashift_http::hyper::{Method, StatusCode};
@@ -6,16 +7,16 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Asks the first of these daemons that answers which calls are suspected.
+/// Returns the suspected calls from the first of these daemons that answers.
 ///
 /// # Errors
 ///
 /// Returns [`OperatorError::NoDaemon`] where none answers.
 pub async fn list(daemons: &[SocketAddr]) -> Result<Value, OperatorError> {
-    fleet::json_of(daemons, "/v1/quarantine").await
+    fleet::fetch_json(daemons, "/v1/quarantine").await
 }
 
-/// Renders what [`list()`] returned, a call a line.
+/// Renders the result of [`list()`] as text, one call per line.
 pub fn render(list: &Value) -> String {
     let rows = list.as_array().map(Vec::as_slice).unwrap_or_default();
     let mut out = format!("{} calls are suspected of ending upstreams\n", rows.len());
@@ -23,26 +24,26 @@
         let call = row["call"].as_str().unwrap_or("?");
         let state = match row["quarantined_s"].as_u64() {
             Some(left) => format!("quarantined for {left} s"),
-            None => "sent on".to_string(),
+            None => "not quarantined".to_string(),
         };
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _written = writeln!(out, "{call}  {} ended  {state}", row["ended"]);
     }
     out
 }
 
-/// Lets a call be sent again, by the first of these daemons that answers; returns what
-/// it said.
+/// Lifts the quarantine of a call at the first of these daemons that answers; returns its
+/// message.
 ///
 /// # Errors
 ///
-/// Returns [`OperatorError::NotFound`] where nothing is known against the call, and
-/// [`OperatorError::NoDaemon`] where no daemon answers.
+/// Returns [`OperatorError::NotFound`] where the daemon does not suspect the call or rejects
+/// its digest, and [`OperatorError::NoDaemon`] where no daemon answers.
 pub async fn lift(daemons: &[SocketAddr], call: &str) -> Result<String, OperatorError> {
     let path = format!("/v1/quarantine/{call}");
-    let mut last = OperatorError::NoDaemon("none named".to_string());
+    let mut last = OperatorError::NoDaemon("no address given".to_string());
     for daemon in daemons {
-        match fleet::ask(*daemon, Method::DELETE, &path).await {
+        match fleet::send_request(*daemon, Method::DELETE, &path).await {
             Ok(res) if res.status() == StatusCode::OK => {
                 return Ok(String::from_utf8_lossy(res.body()).into_owned());
             }
--- a/src/operator/record.rs
+++ b/src/operator/record.rs
@@ -1,4 +1,4 @@
-//! The quarterly record, for people, machines and customers.
+//! The delivery record of a quarter and its summary.
 
 use super::OperatorError;
 use crate::daemon::record::quarter_of;
@@ -7,33 +7,34 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// What was promised: in force everywhere within this time, in milliseconds.
+/// Promised delivery time: a version is in force everywhere within this time, in
+/// milliseconds.
 pub const PROMISED_MS: u64 = 7000;
 
-/// One quarter in figures.
+/// Figures of one quarter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Quarter {
-    /// Such as `2026Q4`.
+pub struct QuarterSummary {
+    /// The quarter, such as `2026Q4`.
     pub quarter: String,
     /// Versions accepted.
     pub versions: usize,
-    /// Rows: versions times failure domains.
+    /// Rows: one for each version and failure domain.
     pub rows: usize,
     /// Rows in force on every live member within [`PROMISED_MS`].
     pub kept: usize,
     /// Median time from acceptance to in force, in milliseconds.
     pub p50_ms: u64,
-    /// The time that 99 of 100 rows kept to, in milliseconds.
+    /// 99th percentile of this time, in milliseconds.
     pub p99_ms: u64,
-    /// The longest time, in milliseconds.
+    /// The longest such time, in milliseconds.
     pub max_ms: u64,
-    /// Control bytes of the daemons that rolled out, during roll-outs.
+    /// Control bytes of the daemons that rolled versions out, during the rollouts.
     pub control_bytes: u64,
-    /// Hosts that were late or refused, with version and reason.
+    /// Version, host and reason for each host that was late or refused.
     pub late: Vec<(u64, String, String)>,
 }
 
-/// Reads a quarter's rows.
+/// Reads the rows of a quarter.
 ///
 /// # Errors
 ///
@@ -46,21 +47,21 @@
     Ok(pairs.iter().filter_map(|pair| serde_json::from_slice(&pair.value).ok()).collect())
 }
 
-/// Returns the present quarter.
-pub fn present(wall_ms: u64) -> String {
+/// Returns the current quarter.
+pub fn current_quarter(wall_ms: u64) -> String {
     quarter_of(wall_ms)
 }
 
-/// Sums rows up.
-pub fn sum_up(quarter: &str, rows: &[RecordRow]) -> Quarter {
-    let mut times: Vec<u64> = rows.iter().filter_map(time_of).collect();
+/// Summarises the rows of a quarter.
+pub fn summarise(quarter: &str, rows: &[RecordRow]) -> QuarterSummary {
+    let mut times: Vec<u64> = rows.iter().filter_map(delivery_ms).collect();
     times.sort_unstable();
     let versions: BTreeSet<u64> = rows.iter().map(|row| row.version).collect();
     let late = rows
         .iter()
         .flat_map(|row| row.late.iter().map(|(host, why)| (row.version, host.clone(), why.clone())))
         .collect();
-    Quarter {
+    QuarterSummary {
         quarter: quarter.to_string(),
         versions: versions.len(),
         rows: rows.len(),
@@ -73,34 +74,36 @@
     }
 }
 
-/// Writes a quarter for people.
-pub fn render(quarter: &Quarter) -> String {
+/// Renders a summary as text.
+pub fn render(summary: &QuarterSummary) -> String {
     let mut out = format!(
         "{}: {} versions, {} of {} deliveries kept the promise of {} s\n\
          in force after: median {} ms, 99 in 100 within {} ms, longest {} ms\n\
          control bytes of roll-outs: {}\n",
-        quarter.quarter,
-        quarter.versions,
-        quarter.kept,
-        quarter.rows,
+        summary.quarter,
+        summary.versions,
+        summary.kept,
+        summary.rows,
         PROMISED_MS / 1000,
-        quarter.p50_ms,
-        quarter.p99_ms,
-        quarter.max_ms,
-        quarter.control_bytes
+        summary.p50_ms,
+        summary.p99_ms,
+        summary.max_ms,
+        summary.control_bytes
     );
-    for (version, host, why) in &quarter.late {
+    for (version, host, why) in &summary.late {
         out.push_str(&format!("late: version {version}, {host}: {why}\n"));
     }
     out
 }
 
-/// Returns the time from acceptance to in force everywhere in the domain.
-pub fn time_of(row: &RecordRow) -> Option<u64> {
+/// Returns the time, in milliseconds, from the acceptance of a version until it was in force
+/// on every live member of the failure domain, or `None` where it was not.
+pub fn delivery_ms(row: &RecordRow) -> Option<u64> {
     row.run_ms.map(|run| run.saturating_sub(row.accepted_ms))
 }
 
-fn percentile(sorted: &[u64], share: f64) -> u64 {
+/// Returns a percentile of sorted values; zero if there are none.
+fn percentile(sorted: &[u64], fraction: f64) -> u64 {
     let Some(last) = sorted.len().checked_sub(1) else { return 0 };
-    sorted[(last as f64 * share).round() as usize]
+    sorted[(last as f64 * fraction).round() as usize]
 }
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -1,19 +1,21 @@
-//! The quarter as one self-contained page, with plots, for customers.
+//! The delivery record of a quarter as one self-contained HTML page for customers, with a
+//! plot.
 
-use super::record::{PROMISED_MS, Quarter, time_of};
+use super::record::{PROMISED_MS, QuarterSummary, delivery_ms};
 use cicadashift_wire::rpc::RecordRow;
 use plotters::prelude::*;
 
-const SIZE: (u32, u32) = (860, 320);
+/// Width and height of the plot in pixels.
+const PLOT_SIZE: (u32, u32) = (860, 320);
 
-/// Returns the page.
+/// Renders the page.
 ///
-/// A plot that cannot be drawn is left out; the figures are in the table.
-pub fn page(sum: &Quarter, rows: &[RecordRow]) -> String {
+/// A plot that cannot be drawn is left out, since the table has the figures.
+pub fn page(summary: &QuarterSummary, rows: &[RecordRow]) -> String {
     let times: Vec<(u64, u64)> =
-        rows.iter().filter_map(|row| time_of(row).map(|ms| (row.version, ms))).collect();
+        rows.iter().filter_map(|row| delivery_ms(row).map(|ms| (row.version, ms))).collect();
     let plot = plot(&times).unwrap_or_default();
-    let late: String = sum
+    let late: String = summary
         .late
         .iter()
         .map(|(version, host, why)| {
@@ -33,31 +35,31 @@
          <h2>Time from acceptance to in force, by version</h2>{plot}\
          <h2>Late or refused</h2><table><tr><th>Version</th><th>Host</th><th>Reason</th></tr>{late}\
          </table></body></html>\n",
-        quarter = escape(&sum.quarter),
-        versions = sum.versions,
+        quarter = escape(&summary.quarter),
+        versions = summary.versions,
         promise = PROMISED_MS / 1000,
-        kept = sum.kept,
-        rows = sum.rows,
-        p50 = sum.p50_ms,
-        p99 = sum.p99_ms,
-        max = sum.max_ms,
-        bytes = sum.control_bytes,
+        kept = summary.kept,
+        rows = summary.rows,
+        p50 = summary.p50_ms,
+        p99 = summary.p99_ms,
+        max = summary.max_ms,
+        bytes = summary.control_bytes,
     )
 }
 
 fn plot(times: &[(u64, u64)]) -> Option<String> {
     let first = times.iter().map(|(version, _)| *version).min()?;
     let last = times.iter().map(|(version, _)| *version).max()?;
-    let most = times.iter().map(|(_, ms)| *ms).max()?.max(10);
+    let max_ms = times.iter().map(|(_, ms)| *ms).max()?.max(10);
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let root = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         root.fill(&WHITE).ok()?;
         let mut chart = ChartBuilder::on(&root)
             .margin(10)
             .x_label_area_size(30)
             .y_label_area_size(60)
-            .build_cartesian_2d(first..last + 1, 0..most + most / 10)
+            .build_cartesian_2d(first..last + 1, 0..max_ms + max_ms / 10)
             .ok()?;
         chart.configure_mesh().x_desc("version").y_desc("ms").draw().ok()?;
         let points = times.iter().map(|point| Circle::new(*point, 3, BLUE.filled()));
