--- a/tests/client.rs
+++ b/tests/client.rs
@@ -1,4 +1,4 @@
-//! The operators' commands, as an operator types them.
+//! Tests the operators' commands through the command line.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// A folder for the files of one test, and what commands need.
+/// The temporary directory of one test and the addresses that its commands use.
 struct Operator {
     dir: PathBuf,
     platform: String,
@@ -20,18 +20,19 @@
         let daemon = mesh.fleet.nodes[0].upstreams.to_string();
         let name = format!("cicadashift-client-{}", daemon.replace([':', '.'], "-"));
         let dir = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&dir).expect("a temporary folder");
+        std::fs::create_dir_all(&dir).expect("cannot create the temporary directory");
         Operator { dir, platform: mesh.platform.addr.to_string(), daemon }
     }
 
     fn file(&self, name: &str, text: &str) -> String {
         let path = self.dir.join(name);
-        std::fs::write(&path, text).expect("a temporary file");
+        std::fs::write(&path, text).expect("cannot write a temporary file");
         path.display().to_string()
     }
 
-    /// Runs a command line; returns its exit code and what it says.
-    async fn says(&self, line: &str) -> String {
+    /// Runs a command line; returns the line, its output and its exit code. The temporary
+    /// directory is replaced by `DIR`.
+    async fn output_of(&self, line: &str) -> String {
         let args: Vec<String> = line.split(' ').map(str::to_string).collect();
         let (platform, daemon) = (self.platform.clone(), self.daemon.clone());
         let out = smol::unblock(move || {
@@ -40,12 +41,12 @@
                 .env("CICADASHIFT_PLATFORM", platform)
                 .env("CICADASHIFT_DAEMON", daemon)
                 .output()
-                .expect("the program starts")
+                .expect("cannot start the program")
         })
         .await;
-        let (said, error) =
+        let (stdout, stderr) =
             (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
-        let text = format!("{said}{error}").replace(&self.dir.display().to_string(), "DIR");
+        let text = format!("{stdout}{stderr}").replace(&self.dir.display().to_string(), "DIR");
         let shown = line.replace(&self.dir.display().to_string(), "DIR");
         format!("$ {shown}\n{text}exit {}\n\n", out.status.code().unwrap_or(-1))
     }
@@ -58,15 +59,16 @@
 }
 
 #[test]
-fn an_operator_changes_and_looks() {
+fn operator_changes_and_lists_configuration() {
     run(async {
         let mesh = Mesh::start(spec(&["a"], 2), |node| {
             Some(Behaviour::plain("notice", &format!("notice-{}", node.name)))
         })
         .await;
         assert!(mesh.fleet.wait_service("notice", cicadashift_testkit::mesh::PATIENCE).await);
-        // Accepting waits until the roster names the service.
-        mesh.accept(NOTICES).await.expect("accepted");
+        // The roster names the service a moment after its upstreams are announced; `accept`
+        // waits until it does.
+        mesh.accept(NOTICES).await.expect("the configuration is accepted");
         let op = Operator::new(&mesh);
         let selector = op.file("selector.json", EVERYWHERE);
         let config = op.file("config.json", NOTICES);
@@ -98,37 +100,41 @@
         ];
         let mut out = String::new();
         for line in &lines {
-            out.push_str(&op.says(line).await);
+            out.push_str(&op.output_of(line).await);
         }
-        // How far each proxy was when it looked first depends on the machine.
-        let progress = |line: &&str| {
+        // Lines about the progress of proxies depend on the speed of the machine and are
+        // left out.
+        let is_deterministic = |line: &&str| {
             let of_one_proxy = line.starts_with("  a-") && !line.contains("gains");
             !of_one_proxy && !line.contains("proxies run it")
         };
-        let steady: Vec<&str> = out.lines().filter(progress).collect();
+        let steady: Vec<&str> = out.lines().filter(is_deterministic).collect();
         insta::assert_snapshot!(steady.join("\n"));
     });
 }
 
 #[test]
-fn status_and_record_tell_what_was_delivered() {
+fn status_and_record_show_deliveries() {
     run(async {
         let mesh = Mesh::serving(spec(&["a", "b"], 1)).await;
         let op = Operator::new(&mesh);
-        let until = std::time::Instant::now() + cicadashift_testkit::mesh::PATIENCE;
+        let deadline = std::time::Instant::now() + cicadashift_testkit::mesh::PATIENCE;
         while mesh.platform.keys("cicadashift/record/").len() < 2 {
-            assert!(std::time::Instant::now() < until, "the record is written");
+            assert!(
+                std::time::Instant::now() < deadline,
+                "the delivery record was not written in time"
+            );
             smol::Timer::after(std::time::Duration::from_millis(100)).await;
         }
         let rows = mesh.platform.keys("cicadashift/record/");
         let unique: std::collections::BTreeSet<_> = rows.iter().collect();
         assert_eq!(rows.len(), unique.len());
-        let status = op.says("status").await;
+        let status = op.output_of("status").await;
         assert!(status.contains("a: 1 of 1 run it, 1 answered"), "{status}");
         let page = op.dir.join("record.html");
-        let record = op.says(&format!("record --html {}", page.display())).await;
+        let record = op.output_of(&format!("record --html {}", page.display())).await;
         assert!(record.contains("kept the promise of 7 s"), "{record}");
-        let html = std::fs::read_to_string(&page).expect("the page is written");
+        let html = std::fs::read_to_string(&page).expect("cannot read the page");
         assert!(html.contains("<svg") && html.contains("</html>"));
     });
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,40 +1,40 @@
-//! `cicadashift explain` on logs of four daemons, in `testdata/logs`.
+//! Tests `cicadashift explain` on the logs of four daemons in `testdata/logs`.
 
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Returns what the command writes, and its exit code.
+/// Returns the output of the command and its exit code.
 fn explain(request: &str) -> String {
     let dir = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("testdata/logs");
     let mut files: Vec<PathBuf> = std::fs::read_dir(dir)
-        .expect("the logs are there")
-        .map(|entry| entry.expect("a readable folder").path())
+        .expect("cannot read testdata/logs")
+        .map(|entry| entry.expect("cannot read an entry of testdata/logs").path())
         .collect();
     files.sort();
     let output = Command::new(env!("CARGO_BIN_EXE_cicadashift"))
         .args(["explain", request])
         .args(files)
         .output()
-        .expect("the program runs");
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    let failed = String::from_utf8_lossy(&output.stderr).into_owned();
-    format!("{said}{failed}exit code {}", output.status.code().unwrap_or(-1))
+        .expect("cannot run the program");
+    let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    format!("{stdout}{stderr}exit code {}", output.status.code().unwrap_or(-1))
 }
 
 #[test]
 fn a_refused_request_is_explained() {
-    // Four upstreams in a row had no slot free in time; the caller was told so.
+    // Four upstreams in a row had no free slot in time, so the caller was refused as `busy`.
     insta::assert_snapshot!(explain("b3e1683b30fc50c9"));
 }
 
 #[test]
 fn a_request_that_ran_out_of_time_is_explained() {
-    // The first upstream was full, the second had it for 394 ms when the time of the
-    // route was up.
+    // The first upstream was full. At the second the request had waited for 394 ms when the
+    // deadline of its route passed.
     insta::assert_snapshot!(explain("bf2eb455101939b1"));
 }
 
 #[test]
-fn a_request_that_no_log_names_is_said_so() {
+fn a_request_that_no_log_names_is_reported() {
     insta::assert_snapshot!(explain("0000000000000000"));
 }
