--- a/src/operator/change.rs
+++ b/src/operator/change.rs
@@ -65,7 +65,10 @@
 /// # Errors
 ///
 /// Returns [`OperatorError::NotFound`] where no configuration has this id.
-pub async fn config_text(platform: &impl KeyValueStore, id: &str) -> Result<Vec<u8>, OperatorError> {
+pub async fn config_text(
+    platform: &impl KeyValueStore,
+    id: &str,
+) -> Result<Vec<u8>, OperatorError> {
     let snapshot = snapshot(platform).await?;
     let missing = || OperatorError::NotFound(format!("configuration {id:?}"));
     let entry = snapshot.manifest.configs.get(id).ok_or_else(missing)?;
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Tests `cicadashift explain` on the logs of four daemons in `testdata/logs`.
+//! `cicadashift explain` on logs of four daemons, in `testdata/logs`.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -7,15 +7,15 @@
 fn explain(request: &str) -> String {
     let dir = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("testdata/logs");
     let mut files: Vec<PathBuf> = std::fs::read_dir(dir)
-        .expect("cannot read testdata/logs")
-        .map(|entry| entry.expect("cannot read an entry of testdata/logs").path())
+        .expect("the logs are there")
+        .map(|entry| entry.expect("a readable folder").path())
         .collect();
     files.sort();
     let output = Command::new(env!("CARGO_BIN_EXE_cicadashift"))
         .args(["explain", request])
         .args(files)
         .output()
-        .expect("cannot run the program");
+        .expect("the program runs");
     let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     format!("{stdout}{stderr}exit code {}", output.status.code().unwrap_or(-1))
@@ -23,13 +23,13 @@
 
 #[test]
 fn a_refused_request_is_explained() {
-    // Four upstreams in a row had no free slot in time, and the call was refused.
+    // Four upstreams in a row had no slot free in time, and the call was refused.
     insta::assert_snapshot!(explain("b3e1683b30fc50c9"));
 }
 
 #[test]
 fn a_request_that_ran_out_of_time_is_explained() {
-    // The first upstream was full; the second the request had worked on the call for 394 ms when the
+    // The first upstream was full; the second had worked on the call for 394 ms when the
     // route's deadline passed.
     insta::assert_snapshot!(explain("bf2eb455101939b1"));
 }
