--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -363,7 +363,7 @@
             key: MeshKey::new(&settings.mesh_key),
             store: match settings.interface {
                 InterfaceKind::Own => Client::etcd(settings.platform.clone()),
-                InterfaceKind::Platform => Client::hosted(&settings.platform),
+                InterfaceKind::Platform => Client::metadata_store(&settings.platform),
             },
             dialect: platform_adapter
                 .as_ref()
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -439,7 +439,7 @@
 ) {
     let load = local.map(|local| local.load()).unwrap_or_default();
     let waited = d.clock.now().saturating_duration_since(since);
-    crate::logging::ordinary(
+    crate::logging::rate_limited_decision(
         result == "run",
         &Admit {
             kind: "admit",
--- a/src/daemon/request/story.rs
+++ b/src/daemon/request/story.rs
@@ -139,7 +139,7 @@
         age_ms: now.saturating_duration_since(work.first_came).as_millis() as u64,
         rank: work.priority.0,
     };
-    crate::logging::ordinary(attempt == 1, &line);
+    crate::logging::rate_limited_decision(attempt == 1, &line);
 }
 
 /// Logs how an attempt ended that brought no answer to pass on.
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -70,8 +70,8 @@
         "members": d.members.others().len() + 1,
         "control_bytes": d.costs.control_bytes(),
         "config_age_ms": d.versions.document.confirmed_age_ms(d.clock.now()),
-        "log_lines_lost": crate::logging::lost(),
-        "log_lines_left_out": crate::logging::left_out(),
+        "log_lines_lost": crate::logging::lost_lines(),
+        "log_lines_left_out": crate::logging::omitted_lines(),
         "at_ms": d.clock.wall_ms(),
     })
 }
--- a/src/daemon/tunable.rs
+++ b/src/daemon/tunable.rs
@@ -21,8 +21,8 @@
     fn of(settings: &Settings) -> Values {
         Values {
             retries: settings.retries,
-            leave: settings.limits.leave(),
-            finish: settings.limits.finish(),
+            leave: settings.limits.leave_timeout(),
+            finish: settings.limits.finish_timeout(),
         }
     }
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -20,7 +20,7 @@
 static LOST: AtomicU64 = AtomicU64::new(0);
 
 /// Returns how many lines were lost since the start.
-pub fn lost() -> u64 {
+pub fn lost_lines() -> u64 {
     LOST.load(Ordering::Relaxed)
 }
 
@@ -58,7 +58,7 @@
 ///
 /// The first of a second are logged, as many as the settings say, the others
 /// counted.
-pub fn ordinary<T: Serialize>(ordinary: bool, event: &T) {
+pub fn rate_limited_decision<T: Serialize>(ordinary: bool, event: &T) {
     if !ordinary || ORDINARY.take() {
         decision(event);
     }
@@ -71,7 +71,7 @@
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
 
 /// Returns how many ordinary lines were left out since the start.
-pub fn left_out() -> u64 {
+pub fn omitted_lines() -> u64 {
     LEFT_OUT.load(Ordering::Relaxed)
 }
 
@@ -164,7 +164,7 @@
         while let Ok(item) = rx.try_recv() {
             write_one(&mut out, item);
         }
-        let lost = lost();
+        let lost = lost_lines();
         if lost > told {
             let _best_effort =
                 writeln!(out, "{}", json!({"level": "WARN", "lines_lost": lost - told}));
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The `cicadashift` program.
 
 fn main() {
-    cicadashift::memory::give_back();
+    cicadashift::memory::configure_allocator();
     let args = std::env::args_os().skip(1).collect();
     std::process::exit(cicadashift::cli::run(args));
 }
--- a/src/memory.rs
+++ b/src/memory.rs
@@ -17,7 +17,7 @@
 const GROW_BY: c_int = 16 << 10;
 
 /// Sets the allocator's bounds; to be called before there are other threads.
-pub fn give_back() {
+pub fn configure_allocator() {
     let bounds = [
         (libc::M_MMAP_THRESHOLD, OWN_MAPPING_FROM),
         (libc::M_TRIM_THRESHOLD, GIVE_BACK_FROM),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -191,15 +191,15 @@
 
 impl Limits {
     /// Returns the time that a planned stop gives peers to stop sending.
-    pub fn leave(&self) -> Duration {
+    pub fn leave_timeout(&self) -> Duration {
         Duration::from_millis(self.leave_ms)
     }
 
     /// Returns the time that it gives calls in progress after that.
-    pub fn finish(&self) -> Duration {
+    pub fn finish_timeout(&self) -> Duration {
         let left = self.grace_s.map(|grace_s| {
             let grace = Duration::from_secs_f64(grace_s);
-            grace.saturating_sub(self.leave() + GRACE_MARGIN)
+            grace.saturating_sub(self.leave_timeout() + GRACE_MARGIN)
         });
         left.unwrap_or(Duration::from_millis(self.finish_ms))
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -112,7 +112,7 @@
     }
 
     /// Makes a client of the metadata store.
-    pub fn hosted(addrs: &[SocketAddr]) -> Client {
+    pub fn metadata_store(addrs: &[SocketAddr]) -> Client {
         Client::new(By::Hosted(Hosted::new(addrs.first().copied())))
     }
 }
