--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,22 +1,23 @@
-//! The clock, passed in so that decisions can be replayed.
+//! The clock, passed in as a trait so that decisions can be replayed.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Tells the time.
+/// A source of the current time.
 pub trait Clock: Send + Sync {
-    /// Returns a time that never goes back.
+    /// Returns the monotonic time, which never goes back.
     fn now(&self) -> Instant;
 
-    /// Returns milliseconds since 1970, which may go back.
+    /// Returns the wall clock time in milliseconds since 1970, which may go back.
     fn wall_ms(&self) -> u64;
 }
 
-/// The system's clock.
+/// The clock of the system.
 ///
-/// It counts the time for which the host was suspended, which [`Instant`] alone
-/// does not. Failure: a host is suspended for seconds. Symptom: deadlines seem to
-/// lie ahead when it wakes, and work is started that its callers gave up.
+/// Its monotonic time includes the time during which the host was suspended, which
+/// [`Instant`] alone leaves out. Failure: a host is suspended for seconds. Symptom: after
+/// it resumes, expired deadlines seem to lie ahead, and the daemon starts calls that their
+/// callers have given up.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemClock {
     base: Instant,
@@ -24,7 +25,7 @@
 }
 
 impl SystemClock {
-    /// Makes a clock.
+    /// Makes a clock whose monotonic time starts at the current [`Instant`].
     pub fn new() -> SystemClock {
         SystemClock { base: Instant::now(), since_boot: since_boot() }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! cicadashift distributes configuration to the proxies of a service mesh, and
-//! is those proxies.
+//! implements those proxies.
 //!
-//! This crate is the façade: the daemon's edges, the operator's client, settings
-//! and logs. The decisions are in `cicadashift-core`, free of I/O; start reading
-//! there, and at `docs/DESIGN.md`.
+//! This crate holds the I/O of the daemon, the operator's client, settings and logging.
+//! The decisions are in `cicadashift-core`, which does no I/O; start reading there, and
+//! at `docs/DESIGN.md`.
 
 pub mod cli;
 pub mod clock;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,8 +1,8 @@
-//! Logs: one line an event, never at the cost of a call.
+//! Logging: one line per event, without ever blocking a call.
 //!
-//! Lines go through a bounded queue to a thread of their own. When the output is
-//! slower than the daemon, lines are dropped and counted, and the count is
-//! logged as soon as there is room. The fields are listed in `docs/LOGS.md`.
+//! Lines go through a bounded queue to a writer thread. If the output is slower than the
+//! daemon, lines are dropped and counted, and the writer logs the count as soon as it
+//! catches up. `docs/LOGS.md` lists the fields.
 
 use crate::settings;
 use flexi_logger::writers::LogWriter;
@@ -14,29 +14,29 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Target of decision lines.
+/// Log target of decision lines.
 pub const DECISION: &str = "decision";
 
-static LOST: AtomicU64 = AtomicU64::new(0);
+static LOST_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many lines were lost since the start.
+/// Returns the number of lines dropped since the start because the queue was full.
 pub fn lost_lines() -> u64 {
-    LOST.load(Ordering::Relaxed)
+    LOST_LINES.load(Ordering::Relaxed)
 }
 
 /// Starts logging to standard output.
 ///
 /// # Errors
 ///
-/// Returns the library's error where a logger is already in place.
+/// Returns the error of `flexi_logger` if a logger is already installed.
 pub fn start(log: &settings::Log) -> Result<LoggerHandle, FlexiLoggerError> {
     let writer = LossyWriter::start(log.json, log.buffer_lines.max(1));
     Logger::with(specification(log)).log_to_writer(Box::new(writer)).start()
 }
 
-/// Returns which lines the settings ask for, and bounds the ordinary ones.
+/// Returns the log filter for the settings, and sets the rate limit of ordinary lines.
 pub fn specification(log: &settings::Log) -> LogSpecification {
-    ORDINARY.per_s.store(log.ordinary_per_s, Ordering::Relaxed);
+    ORDINARY_LIMIT.max_per_s.store(log.ordinary_per_s, Ordering::Relaxed);
     let level = log.level.parse().unwrap_or(log::LevelFilter::Info);
     let mut spec = LogSpecification::builder();
     spec.default(level);
@@ -46,7 +46,7 @@
     spec.build()
 }
 
-/// Logs a decision with its fields.
+/// Logs a decision as a JSON object.
 pub fn decision<T: Serialize>(event: &T) {
     if log::log_enabled!(target: DECISION, log::Level::Info) {
         let fields = serde_json::to_string(event).unwrap_or_default();
@@ -54,67 +54,69 @@
     }
 }
 
-/// Logs a decision that is one of many alike, if `ordinary`, within a bound.
+/// Logs a decision; if `is_ordinary`, subject to a rate limit.
 ///
-/// The first of a second are logged, as many as the settings say, the others
-/// counted.
-pub fn rate_limited_decision<T: Serialize>(ordinary: bool, event: &T) {
-    if !ordinary || ORDINARY.take() {
+/// Of the ordinary decisions in a second, the first `ordinary_per_s` are logged and the
+/// others are counted.
+pub fn rate_limited_decision<T: Serialize>(is_ordinary: bool, event: &T) {
+    if !is_ordinary || ORDINARY_LIMIT.try_acquire() {
         decision(event);
     }
 }
 
-/// Bounds the ordinary lines of one process.
-static ORDINARY: Quota =
-    Quota { per_s: AtomicU64::new(0), second: AtomicU64::new(0), used: AtomicU64::new(0) };
+/// Rate limit of the ordinary lines of this process.
+static ORDINARY_LIMIT: LineLimit =
+    LineLimit { max_per_s: AtomicU64::new(0), second: AtomicU64::new(0), used: AtomicU64::new(0) };
 
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static OMITTED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many ordinary lines were left out since the start.
+/// Returns the number of ordinary lines omitted by the rate limit since the start.
 pub fn omitted_lines() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+    OMITTED_LINES.load(Ordering::Relaxed)
 }
 
-struct Quota {
-    /// Lines in a second.
-    per_s: AtomicU64,
-    /// The second that `used` belongs to, since 1970.
+/// A limit on the lines in each second of the wall clock.
+struct LineLimit {
+    /// Maximum lines per second.
+    max_per_s: AtomicU64,
+    /// The second that `used` counts for, since 1970.
     second: AtomicU64,
     used: AtomicU64,
 }
 
-impl Quota {
-    fn take(&self) -> bool {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let now = since.as_secs();
+impl LineLimit {
+    fn try_acquire(&self) -> bool {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = since_epoch.as_secs();
         if self.second.swap(now, Ordering::Relaxed) != now {
             self.used.store(0, Ordering::Relaxed);
         }
-        let within = self.used.fetch_add(1, Ordering::Relaxed) < self.per_s.load(Ordering::Relaxed);
-        if !within {
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+        let is_allowed =
+            self.used.fetch_add(1, Ordering::Relaxed) < self.max_per_s.load(Ordering::Relaxed);
+        if !is_allowed {
+            OMITTED_LINES.fetch_add(1, Ordering::Relaxed);
         }
-        within
+        is_allowed
     }
 }
 
-/// Hands lines to a thread and drops them when it falls behind.
+/// Sends lines to a writer thread, and drops them while its queue is full.
 struct LossyWriter {
     json: bool,
-    tx: SyncSender<Item>,
+    tx: SyncSender<QueueItem>,
 }
 
-enum Item {
+enum QueueItem {
     Line(String),
     Flush(SyncSender<()>),
 }
 
 impl LossyWriter {
-    fn start(json: bool, lines: usize) -> LossyWriter {
-        let (tx, rx) = sync_channel(lines);
+    fn start(json: bool, max_lines: usize) -> LossyWriter {
+        let (tx, rx) = sync_channel(max_lines);
         let started = std::thread::Builder::new().name("log".to_string()).spawn(|| write_all(rx));
         if started.is_err() {
-            eprintln!("logging is off: no thread for it");
+            eprintln!("logging is off: cannot start its thread");
         }
         LossyWriter { json, tx }
     }
@@ -126,7 +128,7 @@
         let (level, target, message) = (record.level(), record.target(), record.args().to_string());
         let line = match (self.json, target == DECISION) {
             (false, _) => format!("{time} {level} {target} {message}\n"),
-            // A decision is an object already; it is put in as it is.
+            // The message of a decision is a JSON object already and is inserted unchanged.
             (true, true) => format!(
                 "{{\"time\":\"{time}\",\"level\":\"{level}\",\"target\":\"{target}\",\"event\":{message}}}\n"
             ),
@@ -137,15 +139,15 @@
                 format!("{line}\n")
             }
         };
-        if let Err(TrySendError::Full(_)) = self.tx.try_send(Item::Line(line)) {
-            LOST.fetch_add(1, Ordering::Relaxed);
+        if let Err(TrySendError::Full(_)) = self.tx.try_send(QueueItem::Line(line)) {
+            LOST_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
 
     fn flush(&self) -> std::io::Result<()> {
         let (tx, rx) = sync_channel(1);
-        if self.tx.send(Item::Flush(tx)).is_ok() {
+        if self.tx.send(QueueItem::Flush(tx)).is_ok() {
             let _best_effort = rx.recv_timeout(Duration::from_secs(1));
         }
         Ok(())
@@ -156,32 +158,32 @@
     }
 }
 
-fn write_all(rx: Receiver<Item>) {
+fn write_all(rx: Receiver<QueueItem>) {
     let mut out = std::io::BufWriter::new(std::io::stdout());
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(item) = rx.recv() {
         write_one(&mut out, item);
         while let Ok(item) = rx.try_recv() {
             write_one(&mut out, item);
         }
         let lost = lost_lines();
-        if lost > told {
+        if lost > reported {
             let _best_effort =
-                writeln!(out, "{}", json!({"level": "WARN", "lines_lost": lost - told}));
-            told = lost;
+                writeln!(out, "{}", json!({"level": "WARN", "lines_lost": lost - reported}));
+            reported = lost;
         }
         let _best_effort = out.flush();
     }
 }
 
-fn write_one(out: &mut impl Write, item: Item) {
+fn write_one(out: &mut impl Write, item: QueueItem) {
     match item {
-        Item::Line(line) => {
+        QueueItem::Line(line) => {
             let _best_effort = out.write_all(line.as_bytes());
         }
-        Item::Flush(tx) => {
+        QueueItem::Flush(tx) => {
             let _best_effort = out.flush();
-            let _waiter_gone = tx.send(());
+            let _flush_timed_out = tx.send(());
         }
     }
 }
--- a/src/memory.rs
+++ b/src/memory.rs
@@ -1,37 +1,40 @@
-//! How the allocator gives memory back.
+//! Settings of the allocator that return freed memory to the system.
 //!
-//! Failure: glibc raises its bounds for large blocks with the first large block that is
-//! freed, and from then on takes such blocks from the heap, between small ones that
-//! live on. Symptom: a daemon that has read a configuration of 250 KB a few times holds
-//! two megabytes that it does not use. With bounds that stay where they are such blocks
-//! go back to the system as soon as they are freed.
+//! Failure: glibc raises its mmap threshold when the first large block is freed, and from
+//! then on allocates blocks of that size on the heap, between small long-lived ones.
+//! Symptom: a daemon that has read a configuration of 250 KB a few times keeps two
+//! megabytes that it does not use. With fixed thresholds such blocks are returned to the
+//! system as soon as they are freed.
 
 use std::ffi::c_int;
 
-/// Size from which on a block is a mapping of its own, in bytes. Texts of configurations
-/// and large answers are above it; buffers of connections are below.
-const OWN_MAPPING_FROM: c_int = 64 << 10;
-/// Free bytes at the top of the heap that are given back.
-const GIVE_BACK_FROM: c_int = 64 << 10;
-/// Bytes by which the heap grows beyond what is asked for.
-const GROW_BY: c_int = 16 << 10;
+/// Size from which a block is allocated by `mmap`, in bytes. Configuration texts and large
+/// answers are above it; connection buffers are below.
+const MMAP_THRESHOLD: c_int = 64 << 10;
+/// Free bytes at the top of the heap from which on they are returned to the system.
+const TRIM_THRESHOLD: c_int = 64 << 10;
+/// Bytes by which the heap grows beyond a request.
+const TOP_PAD: c_int = 16 << 10;
 
-/// Sets the allocator's bounds; to be called before there are other threads.
+/// Sets the options of the allocator; must be called before other threads are started.
 pub fn configure_allocator() {
-    let bounds = [
-        (libc::M_MMAP_THRESHOLD, OWN_MAPPING_FROM),
-        (libc::M_TRIM_THRESHOLD, GIVE_BACK_FROM),
-        (libc::M_TOP_PAD, GROW_BY),
+    let options = [
+        (libc::M_MMAP_THRESHOLD, MMAP_THRESHOLD),
+        (libc::M_TRIM_THRESHOLD, TRIM_THRESHOLD),
+        (libc::M_TOP_PAD, TOP_PAD),
     ];
-    for (name, value) in bounds {
-        if !set(name, value) {
-            eprintln!("the allocator does not take bound {name}; memory may stay in use");
+    for (option, value) in options {
+        if !set_option(option, value) {
+            eprintln!(
+                "mallopt option {option} was rejected; freed memory may not be returned to the system"
+            );
         }
     }
 }
 
-#[expect(unsafe_code, reason = "no library offers this; the call takes two plain numbers")]
-fn set(name: c_int, value: c_int) -> bool {
-    // SAFETY: `mallopt` has no preconditions; it is called while there is one thread.
-    unsafe { libc::mallopt(name, value) == 1 }
+#[expect(unsafe_code, reason = "no safe wrapper of mallopt exists; the call takes two integers")]
+fn set_option(option: c_int, value: c_int) -> bool {
+    // SAFETY: `mallopt` takes two integers and has no preconditions on them; it is called
+    // while the process has one thread.
+    unsafe { libc::mallopt(option, value) == 1 }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters and histograms.
 //!
-//! They are served as text in the usual exposition format on the address that
-//! the settings name, and sent to a statsd collector through cadence if one is
-//! set. `docs/METRICS.md` lists each name, unit and meaning.
+//! They are served in the text exposition format on the address in the settings, and sent
+//! to a statsd collector through cadence if one is set. `docs/METRICS.md` lists each name,
+//! unit and meaning.
 
 use cadence::{
     Counted, CountedExt, Gauged, NopMetricSink, QueuingMetricSink, StatsdClient, Timed,
@@ -18,19 +18,19 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// Lines waiting for the collector; further ones are dropped.
-const QUEUE: usize = 4096;
-/// Upper ends of the histograms' buckets, in seconds: from a hop to the longest
-/// deadlines in use.
+/// Lines queued for the statsd collector; further ones are dropped.
+const STATSD_QUEUE_LINES: usize = 4096;
+/// Upper bounds of the histogram buckets, in seconds: from the latency of one hop to the
+/// longest deadlines in use.
 const BUCKETS: [f64; 12] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0];
 
-/// What distinguishes the counters of one family.
+/// Label that distinguishes the metrics of a family.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Name {
+struct NameLabel {
     name: String,
 }
 
-/// Makes a histogram with [`BUCKETS`].
+/// Constructor of histograms with [`BUCKETS`].
 #[derive(Clone)]
 struct Buckets;
 
@@ -44,17 +44,17 @@
 pub struct Metrics {
     client: StatsdClient,
     registry: Registry,
-    events: Family<Name, Counter>,
-    values: Family<Name, Gauge>,
-    times: Family<Name, Histogram, Buckets>,
+    events: Family<NameLabel, Counter>,
+    values: Family<NameLabel, Gauge>,
+    times: Family<NameLabel, Histogram, Buckets>,
 }
 
 impl Metrics {
-    /// Makes the counters; without a collector nothing is sent.
+    /// Makes the metrics; without a collector nothing is sent.
     ///
     /// # Errors
     ///
-    /// Returns why no socket could be had.
+    /// Returns an error if the socket to the collector cannot be set up.
     pub fn new(collector: Option<SocketAddr>) -> eyre::Result<Metrics> {
         let client = statsd(collector)?;
         let mut registry = Registry::with_prefix("cicadashift");
@@ -75,7 +75,7 @@
     /// Adds to a counter.
     pub fn count(&self, name: &str, by: i64) {
         self.events.get_or_create(&label(name)).inc_by(by.unsigned_abs());
-        let _lost_is_fine = match by {
+        let _best_effort = match by {
             1 => self.client.incr(name),
             by => self.client.count(name, by),
         };
@@ -84,16 +84,16 @@
     /// Sets a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
         self.values.get_or_create(&label(name)).set(i64::try_from(value).unwrap_or(i64::MAX));
-        let _lost_is_fine = self.client.gauge(name, value);
+        let _best_effort = self.client.gauge(name, value);
     }
 
-    /// Records a time.
+    /// Records a duration in a histogram.
     pub fn time(&self, name: &str, time: Duration) {
         self.times.get_or_create(&label(name)).observe(time.as_secs_f64());
-        let _lost_is_fine = self.client.time(name, time);
+        let _best_effort = self.client.time(name, time);
     }
 
-    /// Returns everything in the text exposition format.
+    /// Returns all metrics in the text exposition format.
     pub fn text(&self) -> String {
         let mut out = String::new();
         match text::encode(&mut out, &self.registry) {
@@ -106,8 +106,8 @@
     }
 }
 
-fn label(name: &str) -> Name {
-    Name { name: name.to_string() }
+fn label(name: &str) -> NameLabel {
+    NameLabel { name: name.to_string() }
 }
 
 fn statsd(collector: Option<SocketAddr>) -> eyre::Result<StatsdClient> {
@@ -118,6 +118,6 @@
     let socket = UdpSocket::bind("0.0.0.0:0").wrap_err("no socket for metrics")?;
     socket.set_nonblocking(true).wrap_err("no socket for metrics")?;
     let sink = UdpMetricSink::from(addr, socket).wrap_err("no sink for metrics")?;
-    let sink = QueuingMetricSink::with_capacity(sink, QUEUE);
+    let sink = QueuingMetricSink::with_capacity(sink, STATSD_QUEUE_LINES);
     Ok(StatsdClient::from_sink(prefix, sink))
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! A daemon's settings.
 //!
-//! `docs/SETTINGS.md` lists every field; a test keeps the page and this file in
-//! step. Settings are checked as a whole before anything is started.
+//! `docs/SETTINGS.md` lists every field; a test checks that the page is complete. All
+//! settings are validated before anything is started.
 
 use cicadashift_core::config::select::Proxy;
 use cicadashift_core::config::{self, Invalid, Labels};
@@ -13,52 +13,53 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Shortest time to stop in, in seconds.
+/// Smallest grace period of a stop (`limits.grace_s`), in seconds.
 const MIN_GRACE_S: f64 = 1.0;
-/// Part of the time to stop in that is left for the end of the process.
-const GRACE_MARGIN: Duration = Duration::from_millis(700);
-/// Shortest mesh key accepted, in bytes.
-pub const MIN_KEY_BYTES: usize = 16;
+/// Part of the grace period that is reserved for the exit of the process.
+const EXIT_MARGIN: Duration = Duration::from_millis(700);
+/// Minimum length of the mesh key, in bytes.
+pub const MIN_MESH_KEY_BYTES: usize = 16;
 
-/// What a daemon learns before it starts.
+/// Settings of a daemon, read from a JSON file at its start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The host's name, unique in the mesh.
+    /// Name of the host, unique in the mesh.
     pub host: String,
-    /// The failure domain it is in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Services that its upstreams may serve; what selectors see.
+    /// Services that the upstreams on this host may serve; selectors match on them.
     #[serde(default)]
     pub services: Vec<String>,
-    /// Labels of the proxy; an operator's go before them.
+    /// Labels of the proxy; labels that an operator sets take precedence over them.
     #[serde(default)]
     pub labels: Labels,
-    /// Port for callers.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Port for upstreams and operators of this host.
+    /// Address on which upstreams and operators of this host connect.
     pub upstreams: SocketAddr,
-    /// Address of the upstream on this host, asked once after a start who it is.
+    /// Address of the upstream on this host, which the daemon asks for its identity once
+    /// after a start.
     #[serde(default)]
     pub upstream: Option<SocketAddr>,
-    /// Port for other daemons, TCP and UDP.
+    /// Address on which other daemons connect, over TCP and UDP.
     pub mesh: SocketAddr,
-    /// Address under which its own failure domain reaches `mesh`.
+    /// Address at which daemons of the same failure domain reach `mesh`.
     #[serde(default)]
     pub near_address: Option<SocketAddr>,
-    /// Address under which other failure domains reach `mesh`.
+    /// Address at which daemons of other failure domains reach `mesh`.
     #[serde(default)]
     pub far_address: Option<SocketAddr>,
-    /// How callers, upstreams, operators and the store speak.
+    /// Protocols spoken with callers, upstreams, operators and the store.
     #[serde(default)]
     pub interface: InterfaceKind,
-    /// Port that tells whether this daemon takes work.
+    /// Address of the readiness endpoint, which reports whether the daemon accepts calls.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
-    /// Addresses of the platform's service.
+    /// Addresses of the platform's store.
     pub platform: Vec<SocketAddr>,
-    /// Hosts of this failure domain that remember versions for the others; only
-    /// for the interface `own`.
+    /// Hosts of this failure domain that are witnesses: they keep the promised versions
+    /// for the other hosts. Used only with the interface `own`.
     #[serde(default)]
     pub witnesses: Vec<String>,
     /// Mesh addresses of some daemons of this failure domain.
@@ -67,63 +68,63 @@
     /// Mesh addresses of some daemons of other failure domains.
     #[serde(default)]
     pub far_peers: BTreeMap<String, Vec<SocketAddr>>,
-    /// Secret that all daemons of the mesh share.
+    /// Secret shared by all daemons of the mesh.
     pub mesh_key: String,
-    /// Whether the whole mesh starts for the first time, so that no version is there yet.
+    /// Whether the whole mesh starts for the first time, so that no version exists yet.
     #[serde(default)]
     pub first_start: bool,
-    /// Threads that serve.
+    /// Number of threads that serve calls.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Decisions of the choice of upstreams; all on unless something is measured.
+    /// Parts of the load balancing policy; switched off only for measurements.
     #[serde(default)]
     pub choice: Policy,
-    /// Decisions about calls under load; all on unless something is measured.
+    /// Parts of the handling of calls under load; switched off only for measurements.
     #[serde(default)]
     pub load: LoadPolicy,
-    /// Megabits a second that the host's link carries; unset, nothing waits for
-    /// the link.
+    /// Capacity of the host's link in megabits per second; if unset, transfers never wait
+    /// for the link.
     #[serde(default)]
     pub link_mbps: Option<f64>,
-    /// Bounds that protect the daemon.
+    /// Resource limits and stop timeouts of the daemon.
     #[serde(default)]
     pub limits: Limits,
-    /// Repeated attempts that all daemons together may add.
+    /// Retry budget of all daemons together.
     #[serde(default)]
     pub retries: Retries,
-    /// Calls that a version under rollout may get before it is proven.
+    /// Limit on calls to a version under rollout before it is proven.
     #[serde(default)]
     pub rollouts: Exposure,
-    /// What is logged, and how.
+    /// Log level, format and rate limits.
     #[serde(default)]
     pub log: Log,
     /// Address of a statsd collector.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Address on which counters and histograms are served as text.
+    /// Address on which metrics are served in the text exposition format.
     #[serde(default)]
     pub metrics_text: Option<SocketAddr>,
 }
 
-/// How callers, upstreams, operators and the store speak.
+/// Protocols spoken with callers, upstreams, operators and the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InterfaceKind {
-    /// As `docs/UPSTREAMS.md` and `docs/CONFIGURATION.md` say; the store is etcd.
+    /// The protocols of `docs/UPSTREAMS.md` and `docs/CONFIGURATION.md`; the store is etcd.
     #[default]
     Own,
-    /// As the users' platform does; see `docs/PLATFORM.md`.
+    /// The protocols of the users' platform; see `docs/PLATFORM.md`.
     Platform,
 }
 
-/// Decisions about calls under load, each of which can be switched off to measure what
-/// it is worth.
+/// Parts of the handling of calls under load; each can be switched off to measure its
+/// effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadPolicy {
-    /// Work on several requests of a caller's connection at once.
+    /// Process several pipelined requests of a caller's connection at once.
     pub overlap: bool,
-    /// Count the time that a caller has waited before it was refused and came back.
+    /// Measure the waiting time of a returning caller from its first, refused call.
     pub returning: bool,
 }
 
@@ -133,15 +134,15 @@
     }
 }
 
-/// Repeated attempts that all daemons together may add to a service's load.
+/// Retry budget: retries that all daemons together may add to the load of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retries {
-    /// Repeated attempts for each first one.
+    /// Retries per first attempt.
     pub ratio: f64,
-    /// Repeated attempts beyond the ratio, of all daemons in one window.
+    /// Retries of all daemons in one window beyond the ratio.
     pub slack: f64,
-    /// Seconds of a window.
+    /// Length of a window, in seconds.
     pub window_s: f64,
 }
 
@@ -151,14 +152,14 @@
     }
 }
 
-/// Calls that an unproven version may get of all daemons together, while its rollout is
-/// under way.
+/// Limit on the calls that all daemons together send to an unproven version during its
+/// rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Exposure {
     /// Share of the service's calls.
     pub share: f64,
-    /// Calls beside that share.
+    /// Calls beyond that share.
     pub slack: f64,
 }
 
@@ -168,40 +169,41 @@
     }
 }
 
-/// Bounds that protect the daemon.
+/// Resource limits and stop timeouts of the daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Connections of callers held at once.
+    /// Maximum number of open connections of callers.
     pub caller_connections: usize,
-    /// Connections of other daemons held at once.
+    /// Maximum number of open connections of other daemons.
     pub mesh_connections: usize,
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Milliseconds for a request's head to arrive.
+    /// Timeout for a request head to arrive, in milliseconds.
     pub head_ms: u64,
-    /// Milliseconds a planned stop waits for peers to stop sending.
+    /// Time that a planned stop waits for peers to stop sending, in milliseconds.
     pub leave_ms: u64,
-    /// Milliseconds a planned stop waits for calls in progress.
+    /// Time that a planned stop waits for calls in flight, in milliseconds.
     pub finish_ms: u64,
-    /// Seconds after which whoever stops the daemon ends it; goes before `finish_ms`, which
-    /// is then what is left of them.
+    /// Grace period of a stop, in seconds, after which the supervisor kills the daemon. If
+    /// set, it takes precedence over `finish_ms`: calls in flight then have the rest of the
+    /// period.
     pub grace_s: Option<f64>,
 }
 
 impl Limits {
-    /// Returns the time that a planned stop gives peers to stop sending.
+    /// Returns the time that a planned stop waits for peers to stop sending.
     pub fn leave_timeout(&self) -> Duration {
         Duration::from_millis(self.leave_ms)
     }
 
-    /// Returns the time that it gives calls in progress after that.
+    /// Returns the time that a planned stop then waits for calls in flight.
     pub fn finish_timeout(&self) -> Duration {
-        let left = self.grace_s.map(|grace_s| {
+        let from_grace = self.grace_s.map(|grace_s| {
             let grace = Duration::from_secs_f64(grace_s);
-            grace.saturating_sub(self.leave_timeout() + GRACE_MARGIN)
+            grace.saturating_sub(self.leave_timeout() + EXIT_MARGIN)
         });
-        left.unwrap_or(Duration::from_millis(self.finish_ms))
+        from_grace.unwrap_or(Duration::from_millis(self.finish_ms))
     }
 }
 
@@ -219,20 +221,20 @@
     }
 }
 
-/// What is logged, and how.
+/// Log level, format and rate limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
     /// `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
-    /// One JSON object a line instead of text.
+    /// Whether each line is a JSON object instead of text.
     pub json: bool,
     /// Whether each routing decision is logged.
     pub decisions: bool,
-    /// Ordinary decision lines in a second; further ones are left out and counted.
+    /// Maximum ordinary decision lines per second; further ones are omitted and counted.
     /// Lines about requests that were refused, retried or failed are not ordinary.
     pub ordinary_per_s: u64,
-    /// Lines held when the output is slow; further ones are counted and lost.
+    /// Lines buffered while the output is slow; further ones are dropped and counted.
     pub buffer_lines: usize,
 }
 
@@ -248,14 +250,14 @@
     }
 }
 
-/// Why settings are refused.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// The file cannot be read.
     Unreadable { path: PathBuf, why: String },
-    /// Not JSON, or a field is unknown, missing or of the wrong kind.
+    /// The file is not JSON, or a field is unknown, missing or of the wrong type.
     Json { path: PathBuf, why: String },
-    /// A field's value is not allowed.
+    /// The value of a field is not allowed.
     Field { field: &'static str, value: String, why: &'static str },
 }
 
@@ -276,7 +278,7 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
@@ -288,41 +290,45 @@
         })?;
         let mut json = serde_json::Deserializer::from_slice(&buf);
         let settings: Settings = serde_path_to_error::deserialize(&mut json).map_err(|err| {
-            SettingsError::Json { path: path.to_path_buf(), why: locate(&buf, &err) }
+            SettingsError::Json { path: path.to_path_buf(), why: describe_json_error(&buf, &err) }
         })?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Checks values and how they go together.
+    /// Validates single values and combinations of fields.
     ///
     /// # Errors
     ///
     /// Returns the first [`SettingsError::Field`] found.
     pub fn check(&self) -> Result<(), SettingsError> {
-        name("host", &self.host)?;
-        name("failure_domain", &self.failure_domain)?;
-        self.services.iter().try_for_each(|service| name("services", service))?;
-        config::check_labels(&self.labels).map_err(|err| invalid("labels", err))?;
-        self.witnesses.iter().try_for_each(|host| name("witnesses", host))?;
+        check_name("host", &self.host)?;
+        check_name("failure_domain", &self.failure_domain)?;
+        self.services.iter().try_for_each(|service| check_name("services", service))?;
+        config::check_labels(&self.labels).map_err(|err| invalid_name("labels", err))?;
+        self.witnesses.iter().try_for_each(|host| check_name("witnesses", host))?;
         self.check_ports()?;
-        self.check_counts()?;
-        if self.mesh_key.len() < MIN_KEY_BYTES {
+        self.check_values()?;
+        if self.mesh_key.len() < MIN_MESH_KEY_BYTES {
             let len = format!("{} bytes", self.mesh_key.len());
-            return Err(field("mesh_key", len, "is too short; use at least 16"));
+            return Err(field_error("mesh_key", len, "is too short; use at least 16"));
         }
         if self.far_peers.contains_key(&self.failure_domain) {
             let own = self.failure_domain.clone();
-            return Err(field("far_peers", own, "is the daemon's own failure domain"));
+            return Err(field_error("far_peers", own, "is the daemon's own failure domain"));
         }
         if self.log.level.parse::<log::LevelFilter>().is_err() {
             let level = self.log.level.clone();
-            return Err(field("log.level", level, "is not error, warn, info, debug or trace"));
+            return Err(field_error(
+                "log.level",
+                level,
+                "is not error, warn, info, debug or trace",
+            ));
         }
         Ok(())
     }
 
-    /// Returns what selectors see of this daemon.
+    /// Returns the attributes of this daemon that selectors match on.
     pub fn proxy(&self) -> Proxy {
         Proxy {
             host: self.host.clone(),
@@ -340,92 +346,100 @@
         for (i, (_, a)) in ports.iter().enumerate() {
             for (name, b) in &ports[i + 1..] {
                 if a == b && a.port() != 0 {
-                    return Err(field(name, b.to_string(), "is used for another port as well"));
+                    return Err(field_error(
+                        name,
+                        b.to_string(),
+                        "is used for another port as well",
+                    ));
                 }
             }
         }
-        let unset = self.near_address.is_none() || self.far_address.is_none();
-        if self.mesh.ip().is_unspecified() && unset {
+        let any_unset = self.near_address.is_none() || self.far_address.is_none();
+        if self.mesh.ip().is_unspecified() && any_unset {
             let mesh = self.mesh.to_string();
-            return Err(field("mesh", mesh, "needs near_address and far_address beside it"));
+            return Err(field_error("mesh", mesh, "needs near_address and far_address beside it"));
         }
         Ok(())
     }
 
-    fn check_counts(&self) -> Result<(), SettingsError> {
+    fn check_values(&self) -> Result<(), SettingsError> {
         if self.witnesses.is_empty() && self.interface == InterfaceKind::Own {
-            return Err(field("witnesses", "[]".to_string(), "is empty; name three or five hosts"));
+            return Err(field_error(
+                "witnesses",
+                "[]".to_string(),
+                "is empty; name three or five hosts",
+            ));
         }
         let grace_s = self.limits.grace_s.unwrap_or(MIN_GRACE_S);
         if !(MIN_GRACE_S..=3600.0).contains(&grace_s) {
-            return Err(field("limits.grace_s", grace_s.to_string(), "is not 1 to 3600"));
+            return Err(field_error("limits.grace_s", grace_s.to_string(), "is not 1 to 3600"));
         }
         if !(0.0..=1.0).contains(&self.retries.ratio) {
             let ratio = self.retries.ratio.to_string();
-            return Err(field("retries.ratio", ratio, "is not 0 to 1"));
+            return Err(field_error("retries.ratio", ratio, "is not 0 to 1"));
         }
         if !(0.0..=1.0).contains(&self.rollouts.share) {
             let share = self.rollouts.share.to_string();
-            return Err(field("rollouts.share", share, "is not 0 to 1"));
+            return Err(field_error("rollouts.share", share, "is not 0 to 1"));
         }
         if !(0.0..=1e6).contains(&self.rollouts.slack) {
             let slack = self.rollouts.slack.to_string();
-            return Err(field("rollouts.slack", slack, "is not 0 to 1000000"));
+            return Err(field_error("rollouts.slack", slack, "is not 0 to 1000000"));
         }
         if !(0.1..=3600.0).contains(&self.retries.window_s) {
             let window_s = self.retries.window_s.to_string();
-            return Err(field("retries.window_s", window_s, "is not 0.1 to 3600"));
+            return Err(field_error("retries.window_s", window_s, "is not 0.1 to 3600"));
         }
         if !(0.0..=1e6).contains(&self.retries.slack) {
             let slack = self.retries.slack.to_string();
-            return Err(field("retries.slack", slack, "is not 0 to 1000000"));
+            return Err(field_error("retries.slack", slack, "is not 0 to 1000000"));
         }
         if let Some(mbps) = self.link_mbps.filter(|mbps| !(0.1..=1e6).contains(mbps)) {
-            return Err(field("link_mbps", mbps.to_string(), "is not 0.1 to 1000000"));
+            return Err(field_error("link_mbps", mbps.to_string(), "is not 0.1 to 1000000"));
         }
         if !(1..=64).contains(&self.threads) {
-            return Err(field("threads", self.threads.to_string(), "is not 1 to 64"));
+            return Err(field_error("threads", self.threads.to_string(), "is not 1 to 64"));
         }
         let limits = &self.limits;
         if !(8192..=1 << 20).contains(&limits.head_bytes) {
             let bytes = limits.head_bytes.to_string();
-            return Err(field("limits.head_bytes", bytes, "is not 8192 to 1048576"));
+            return Err(field_error("limits.head_bytes", bytes, "is not 8192 to 1048576"));
         }
         if limits.caller_connections == 0 || limits.mesh_connections == 0 {
-            return Err(field("limits", "0 connections".to_string(), "would serve nobody"));
+            return Err(field_error("limits", "0 connections".to_string(), "would serve nobody"));
         }
         if limits.leave_ms > 5000 {
             let ms = limits.leave_ms.to_string();
-            return Err(field("limits.leave_ms", ms, "is over 5000"));
+            return Err(field_error("limits.leave_ms", ms, "is over 5000"));
         }
         Ok(())
     }
 }
 
-/// Says which field is wrong, and what it holds.
-fn locate(buf: &[u8], err: &serde_path_to_error::Error<serde_json::Error>) -> String {
+/// Describes a parse error with the path and the value of the field, if the field exists.
+fn describe_json_error(buf: &[u8], err: &serde_path_to_error::Error<serde_json::Error>) -> String {
     let path = err.path().to_string();
     let root: serde_json::Value = serde_json::from_slice(buf).unwrap_or_default();
-    let held = path.split('.').try_fold(&root, |value, part| value.get(part));
-    match held {
+    let field_value = path.split('.').try_fold(&root, |value, part| value.get(part));
+    match field_value {
         Some(value) => format!("field `{path}`: {value}: {}", err.inner()),
         None => err.inner().to_string(),
     }
 }
 
-fn name(field_name: &'static str, value: &str) -> Result<(), SettingsError> {
-    config::check_name(field_name, value).map_err(|err| invalid(field_name, err))
+fn check_name(field_name: &'static str, value: &str) -> Result<(), SettingsError> {
+    config::check_name(field_name, value).map_err(|err| invalid_name(field_name, err))
 }
 
-fn invalid(field_name: &'static str, err: Invalid) -> SettingsError {
+fn invalid_name(field_name: &'static str, err: Invalid) -> SettingsError {
     let value = match err {
         Invalid::Name { value, .. } => format!("{value:?}"),
         other => other.to_string(),
     };
-    field(field_name, value, "must be 1 to 128 letters, digits, '.', '_' or '-'")
+    field_error(field_name, value, "must be 1 to 128 letters, digits, '.', '_' or '-'")
 }
 
-fn field(field: &'static str, value: String, why: &'static str) -> SettingsError {
+fn field_error(field: &'static str, value: String, why: &'static str) -> SettingsError {
     SettingsError::Field { field, value, why }
 }
 
--- a/src/store/etcd.rs
+++ b/src/store/etcd.rs
@@ -1,8 +1,7 @@
-//! The JSON gateway of etcd v3, as its documentation publishes it.
+//! A client of the JSON gateway of etcd v3, as its documentation describes it.
 //!
-//! Keys and values travel in base64, numbers of 64 bits as strings. Several
-//! reads or writes go into one transaction, so that a change costs the platform
-//! a fixed number of calls.
+//! Keys and values are encoded in base64, 64-bit integers as strings. Several reads or
+//! writes go into one transaction, so that a change takes a fixed number of calls.
 
 use super::{Change, Lease, Pair, Platform, PlatformError, Revision, Swap, Watch};
 use base64::Engine;
@@ -19,16 +18,16 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Time for one call; the platform answers in milliseconds when it is well.
-const CALL_TIME: Duration = Duration::from_millis(1500);
-/// Connections kept to the platform.
-const CONNECTIONS: usize = 4;
-/// Largest answer: a transaction's worth of objects, in base64.
-const MAX_ANSWER: usize = 64 << 20;
-/// Longest line of a watch: one value of a megabyte, in base64.
-const MAX_LINE: usize = 4 << 20;
+/// Timeout of one call; a healthy store answers within milliseconds.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Idle connections kept open to each address.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+/// Largest response body: the objects of one transaction, in base64.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Longest line of a watch stream: a value of one megabyte, in base64.
+const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// A client of the platform.
+/// A client of etcd.
 pub struct Etcd {
     addrs: Vec<SocketAddr>,
     preferred: AtomicUsize,
@@ -36,19 +35,21 @@
 }
 
 impl Etcd {
-    /// Makes a client that uses the first of the addresses that answers.
+    /// Makes a client that uses one address at a time and moves on to the next after a
+    /// failed call.
     pub fn new(addrs: Vec<SocketAddr>) -> Etcd {
-        Etcd { addrs, preferred: AtomicUsize::new(0), pool: Pool::new(CONNECTIONS) }
+        Etcd { addrs, preferred: AtomicUsize::new(0), pool: Pool::new(MAX_IDLE_CONNECTIONS) }
     }
 
-    async fn call(&self, path: &str, ask: Value) -> Result<Value, PlatformError> {
-        let to = self.addr()?;
-        let result = self.pool.exchange(to, request(path, &ask)?, MAX_ANSWER, CALL_TIME).await;
-        let res = result.map_err(|err| self.failed(err))?;
+    async fn call(&self, path: &str, body: Value) -> Result<Value, PlatformError> {
+        let addr = self.addr()?;
+        let result =
+            self.pool.exchange(addr, request(path, &body)?, MAX_RESPONSE_BYTES, CALL_TIMEOUT).await;
+        let res = result.map_err(|err| self.send_failed(err))?;
         match res.status() {
             StatusCode::OK => {}
             StatusCode::TOO_MANY_REQUESTS => return Err(PlatformError::TooMany),
-            status => return Err(self.failed_with(format!("status {status}"))),
+            status => return Err(self.rejected(format!("status {status}"))),
         }
         serde_json::from_slice(res.body()).map_err(|err| PlatformError::Protocol(err.to_string()))
     }
@@ -61,7 +62,7 @@
         Ok(self.addrs[self.preferred.load(Ordering::Relaxed) % count])
     }
 
-    fn failed(&self, err: SendError) -> PlatformError {
+    fn send_failed(&self, err: SendError) -> PlatformError {
         self.preferred.fetch_add(1, Ordering::Relaxed);
         match err.is_unsent() {
             true => PlatformError::NotDone(err.to_string()),
@@ -69,13 +70,13 @@
         }
     }
 
-    fn failed_with(&self, why: String) -> PlatformError {
+    fn rejected(&self, why: String) -> PlatformError {
         self.preferred.fetch_add(1, Ordering::Relaxed);
         PlatformError::NotDone(why)
     }
 
-    async fn txn(&self, ask: Value) -> Result<Value, PlatformError> {
-        self.call("/v3/kv/txn", ask).await
+    async fn txn(&self, body: Value) -> Result<Value, PlatformError> {
+        self.call("/v3/kv/txn", body).await
     }
 }
 
@@ -83,8 +84,8 @@
     type Watch = EtcdWatch;
 
     async fn get(&self, key: &str) -> Result<Option<Pair>, PlatformError> {
-        let found = self.call("/v3/kv/range", json!({"key": encode(key.as_bytes())})).await?;
-        Ok(pairs(&found)?.pop())
+        let response = self.call("/v3/kv/range", json!({"key": encode(key.as_bytes())})).await?;
+        Ok(pairs(&response)?.pop())
     }
 
     async fn get_many(&self, keys: &[String]) -> Result<Vec<Pair>, PlatformError> {
@@ -101,28 +102,29 @@
     }
 
     async fn list(&self, prefix: &str, keys_only: bool) -> Result<Vec<Pair>, PlatformError> {
-        let ask = json!({
+        let body = json!({
             "key": encode(prefix.as_bytes()),
             "range_end": encode(&prefix_end(prefix)),
             "keys_only": keys_only,
         });
-        pairs(&self.call("/v3/kv/range", ask).await?)
+        pairs(&self.call("/v3/kv/range", body).await?)
     }
 
     async fn put_many(&self, items: &[(String, Vec<u8>)]) -> Result<(), PlatformError> {
-        let writes: Vec<Value> = items.iter().map(|(key, value)| put(key, value, None)).collect();
+        let writes: Vec<Value> =
+            items.iter().map(|(key, value)| put_op(key, value, None)).collect();
         self.txn(json!({"success": writes})).await.map(drop)
     }
 
     async fn delete_unchanged(&self, pairs: &[(String, Revision)]) -> Result<Swap, PlatformError> {
         let compares: Vec<Value> =
-            pairs.iter().map(|(key, revision)| unchanged(key, *revision)).collect();
+            pairs.iter().map(|(key, revision)| compare_revision(key, *revision)).collect();
         let deletes: Vec<Value> = pairs
             .iter()
             .map(|(key, _)| json!({"request_delete_range": {"key": encode(key.as_bytes())}}))
             .collect();
         let result = self.txn(json!({"compare": compares, "success": deletes})).await?;
-        Ok(swapped(&result))
+        Ok(swap_result(&result))
     }
 
     async fn swap(
@@ -132,13 +134,13 @@
         value: &[u8],
         lease: Option<Lease>,
     ) -> Result<Swap, PlatformError> {
-        let compare = unchanged(key, expected);
-        let ask = json!({"compare": [compare], "success": [put(key, value, lease)]});
-        let result = self.txn(ask).await?;
+        let compare = compare_revision(key, expected);
+        let body = json!({"compare": [compare], "success": [put_op(key, value, lease)]});
+        let result = self.txn(body).await?;
         if !result["responses"][0]["error"].is_null() {
             return Ok(Swap::Lost);
         }
-        Ok(swapped(&result))
+        Ok(swap_result(&result))
     }
 
     async fn put_leased(
@@ -147,22 +149,22 @@
         value: &[u8],
         lease: Lease,
     ) -> Result<Swap, PlatformError> {
-        let result = self.txn(json!({"success": [put(key, value, Some(lease))]})).await?;
-        Ok(swapped(&result))
+        let result = self.txn(json!({"success": [put_op(key, value, Some(lease))]})).await?;
+        Ok(swap_result(&result))
     }
 
     async fn grant(&self, time: Duration) -> Result<Lease, PlatformError> {
-        let ask = json!({"TTL": time.as_secs().max(1).to_string(), "ID": "0"});
-        let result = self.call("/v3/lease/grant", ask).await?;
-        let id = number(&result["ID"])?;
-        let seconds = number(&result["TTL"])?;
+        let body = json!({"TTL": time.as_secs().max(1).to_string(), "ID": "0"});
+        let result = self.call("/v3/lease/grant", body).await?;
+        let id = parse_i64(&result["ID"])?;
+        let seconds = parse_i64(&result["TTL"])?;
         Ok(Lease { id, time: Duration::from_secs(seconds.max(0) as u64), era: 0 })
     }
 
     async fn keep_alive(&self, lease: Lease) -> Result<bool, PlatformError> {
-        let ask = json!({"ID": lease.id.to_string()});
-        let result = self.call("/v3/lease/keepalive", ask).await?;
-        Ok(number(&result["result"]["TTL"]).unwrap_or(0) > 0)
+        let body = json!({"ID": lease.id.to_string()});
+        let result = self.call("/v3/lease/keepalive", body).await?;
+        Ok(parse_i64(&result["result"]["TTL"]).unwrap_or(0) > 0)
     }
 
     async fn revoke(&self, lease: Lease) -> Result<(), PlatformError> {
@@ -170,58 +172,63 @@
     }
 
     async fn watch(&self, prefix: &str) -> Result<EtcdWatch, PlatformError> {
-        self.watch_as(prefix, json!({})).await
+        self.create_watch(prefix, json!({})).await
     }
 
     async fn watch_from(&self, prefix: &str, after: Revision) -> Result<EtcdWatch, PlatformError> {
-        self.watch_as(prefix, json!({"start_revision": (after.number + 1).to_string()})).await
+        self.create_watch(prefix, json!({"start_revision": (after.number + 1).to_string()})).await
     }
 }
 
 impl Etcd {
-    async fn watch_as(&self, prefix: &str, mut create: Value) -> Result<EtcdWatch, PlatformError> {
+    async fn create_watch(
+        &self,
+        prefix: &str,
+        mut create: Value,
+    ) -> Result<EtcdWatch, PlatformError> {
         create["key"] = json!(encode(prefix.as_bytes()));
         create["range_end"] = json!(encode(&prefix_end(prefix)));
         let req = request("/v3/watch", &json!({"create_request": create}))?;
-        let sent = exec::timeout(CALL_TIME, self.pool.send(self.addr()?, req)).await;
-        let (res, _closes_with_the_watch) =
-            sent.unwrap_or(Err(SendError::TimedOut)).map_err(|err| self.failed(err))?;
+        let sent = exec::timeout(CALL_TIMEOUT, self.pool.send(self.addr()?, req)).await;
+        // Not returned to the pool: dropping the connection closes it once the watch ends.
+        let (res, _connection) =
+            sent.unwrap_or(Err(SendError::TimedOut)).map_err(|err| self.send_failed(err))?;
         if res.status() != StatusCode::OK {
-            return Err(self.failed_with(format!("status {}", res.status())));
+            return Err(self.rejected(format!("status {}", res.status())));
         }
-        let mut watch = EtcdWatch { incoming: res.into_body(), buf: Vec::new() };
-        // The first line says that the watch is in place. Before it, a change
-        // could be missed between a read and the watch.
-        let created = exec::timeout(CALL_TIME, watch.line()).await;
+        let mut watch = EtcdWatch { body: res.into_body(), buf: Vec::new() };
+        // The first line confirms that the watch is created. Without waiting for it, a
+        // change between a read and the creation of the watch could be missed.
+        let created = exec::timeout(CALL_TIMEOUT, watch.read_line()).await;
         created.unwrap_or(Err(PlatformError::Unknown("watch not confirmed".to_string())))?;
         Ok(watch)
     }
 }
 
-/// A watch in progress.
+/// A watch on a key prefix: a streamed response with one JSON object per line.
 pub struct EtcdWatch {
-    incoming: Incoming,
+    body: Incoming,
     buf: Vec<u8>,
 }
 
 impl EtcdWatch {
-    async fn line(&mut self) -> Result<Vec<u8>, PlatformError> {
+    async fn read_line(&mut self) -> Result<Vec<u8>, PlatformError> {
         loop {
             if let Some(end) = self.buf.iter().position(|byte| *byte == b'\n') {
                 let rest = self.buf.split_off(end + 1);
                 return Ok(std::mem::replace(&mut self.buf, rest));
             }
-            if self.buf.len() > MAX_LINE {
+            if self.buf.len() > MAX_LINE_BYTES {
                 return Err(PlatformError::Protocol("line of a watch is too long".to_string()));
             }
-            let data = self.data().await?;
+            let data = self.read_data().await?;
             self.buf.extend_from_slice(&data);
         }
     }
 
-    async fn data(&mut self) -> Result<Bytes, PlatformError> {
+    async fn read_data(&mut self) -> Result<Bytes, PlatformError> {
         loop {
-            match self.incoming.frame().await {
+            match self.body.frame().await {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         return Ok(data);
@@ -236,7 +243,7 @@
 
 impl Watch for EtcdWatch {
     async fn next(&mut self) -> Result<Vec<Change>, PlatformError> {
-        let line = self.line().await?;
+        let line = self.read_line().await?;
         let value: Value = serde_json::from_slice(&line)
             .map_err(|err| PlatformError::Protocol(err.to_string()))?;
         let events = value["result"]["events"].as_array().cloned().unwrap_or_default();
@@ -252,23 +259,23 @@
     }
 }
 
-fn request(path: &str, ask: &Value) -> Result<Request<Body>, PlatformError> {
+fn request(path: &str, body: &Value) -> Result<Request<Body>, PlatformError> {
     Request::builder()
         .method("POST")
         .uri(path)
         .header("host", "platform")
         .header("content-type", "application/json")
-        .body(body::full(ask.to_string()))
+        .body(body::full(body.to_string()))
         .map_err(|err| PlatformError::NotDone(err.to_string()))
 }
 
-fn put(key: &str, value: &[u8], lease: Option<Lease>) -> Value {
+fn put_op(key: &str, value: &[u8], lease: Option<Lease>) -> Value {
     let lease = lease.map_or(0, |lease| lease.id).to_string();
     let put = json!({"key": encode(key.as_bytes()), "value": encode(value), "lease": lease});
     json!({"request_put": put})
 }
 
-fn unchanged(key: &str, revision: Revision) -> Value {
+fn compare_revision(key: &str, revision: Revision) -> Value {
     json!({
         "key": encode(key.as_bytes()),
         "target": "MOD",
@@ -277,15 +284,15 @@
     })
 }
 
-fn swapped(result: &Value) -> Swap {
+fn swap_result(result: &Value) -> Swap {
     match result["succeeded"].as_bool().unwrap_or(false) {
         true => Swap::Done,
         false => Swap::Lost,
     }
 }
 
-fn pairs(found: &Value) -> Result<Vec<Pair>, PlatformError> {
-    found["kvs"].as_array().into_iter().flatten().map(pair).collect()
+fn pairs(response: &Value) -> Result<Vec<Pair>, PlatformError> {
+    response["kvs"].as_array().into_iter().flatten().map(pair).collect()
 }
 
 fn pair(kv: &Value) -> Result<Pair, PlatformError> {
@@ -295,7 +302,7 @@
         true => Vec::new(),
         false => decode(&kv["value"])?,
     };
-    let revision = Revision { era: 0, number: number(&kv["mod_revision"]).unwrap_or(0) };
+    let revision = Revision { era: 0, number: parse_i64(&kv["mod_revision"]).unwrap_or(0) };
     Ok(Pair { key, value, revision })
 }
 
@@ -308,7 +315,7 @@
     STANDARD.decode(text).map_err(|err| PlatformError::Protocol(err.to_string()))
 }
 
-fn number(value: &Value) -> Result<i64, PlatformError> {
+fn parse_i64(value: &Value) -> Result<i64, PlatformError> {
     let parsed = match value {
         Value::String(text) => text.parse().ok(),
         other => other.as_i64(),
@@ -316,7 +323,7 @@
     parsed.ok_or_else(|| PlatformError::Protocol(format!("{value} is not a number")))
 }
 
-/// Returns the first key after all that begin with a prefix.
+/// Returns the end, exclusive, of the range of keys that begin with a prefix.
 fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,10 +1,10 @@
-//! Names of the platform's keys.
+//! Keys in the store.
 
 use cicadashift_core::ids::{CallDigest, ObjectHash};
 
-/// The one key that compare-and-swap orders versions by.
+/// The key of the newest version; versions are ordered by compare-and-swap on it.
 pub const HEAD: &str = "cicadashift/head";
-/// Prefix of immutable objects.
+/// Prefix of immutable objects, by hash.
 pub const OBJECTS: &str = "cicadashift/object/";
 /// Prefix of reader leases, by failure domain.
 pub const READERS: &str = "cicadashift/reader/";
@@ -28,7 +28,7 @@
     format!("{ROSTERS}{domain}")
 }
 
-/// Prefix of the entries by which daemons find each other.
+/// Prefix of the entries through which daemons discover each other, by host.
 pub const DAEMONS: &str = "cicadashift/daemon/";
 
 /// Returns the key of a daemon's entry.
@@ -36,7 +36,7 @@
     format!("{DAEMONS}{host}")
 }
 
-/// Prefix of the calls that are sent to no upstream, under leases.
+/// Prefix of quarantined calls, which are sent to no upstream; each entry is under a lease.
 pub const QUARANTINE: &str = "cicadashift/quarantine/";
 
 /// Returns the key of a quarantined call.
@@ -44,19 +44,20 @@
     format!("{QUARANTINE}{call}")
 }
 
-/// Prefix of what was decided on rollouts, by service.
+/// Prefix of rollout decisions, by service.
 pub const ROLLOUTS: &str = "cicadashift/rollout/";
 
-/// Returns the key of what was decided on a service's rollout.
+/// Returns the key of the decision on a service's rollout.
 pub fn rollout(service: &str) -> String {
     format!("{ROLLOUTS}{service}")
 }
 
-/// Returns the key that the one daemon holds, under a lease, that decides on a service's
-/// rollout.
+/// Returns the key of the lock on a service's rollout: the daemon that decides on the
+/// rollout holds it under a lease.
 pub fn decider(service: &str) -> String {
     format!("cicadashift/decider/{service}")
 }
 
-/// The key that the one daemon holds, under a lease, that tries a quarantined call.
+/// The key of the lock on trials: the daemon that tries a quarantined call holds it under a
+/// lease.
 pub const TRIAL: &str = "cicadashift/trial";
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,5 @@
-//! The store in which everything lasts, by the protocol that the settings name.
+//! Clients of the durable store, etcd or the platform's metadata store, as the settings
+//! choose. Calls are counted by kind.
 
 pub mod etcd;
 pub mod keys;
@@ -6,46 +7,46 @@
 pub use cicadashift_edge::store::{
     Change, Lease, Pair, Platform, PlatformError, Revision, Swap, Watch,
 };
-use cicadashift_platform::store::{Store as Hosted, StoreWatch as HostedWatch};
+use cicadashift_platform::store::{Store as MetadataStore, StoreWatch as MetadataStoreWatch};
 use etcd::{Etcd, EtcdWatch};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Kinds of calls to the store, as far as they differ in what they cost it.
+/// Kinds of calls to the store, by what a call costs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// A reading of what is there now.
+    /// A read of the current state.
     Read,
-    /// A reading that may be old.
-    OldRead,
-    /// A watch, each time that it is asked again.
+    /// A read that may return stale data.
+    StaleRead,
+    /// A wait for the next changes of a watch; each wait counts.
     Watch,
     /// A write.
     Write,
-    /// A lease that is asked for or ended.
+    /// A lease that is granted or revoked.
     Lease,
-    /// A lease that is prolonged.
+    /// A lease that is renewed.
     Renewal,
 }
 
 impl StoreCall {
-    /// All of them.
+    /// All kinds of calls.
     pub const ALL: [StoreCall; 6] = [
         StoreCall::Read,
-        StoreCall::OldRead,
+        StoreCall::StaleRead,
         StoreCall::Watch,
         StoreCall::Write,
         StoreCall::Lease,
         StoreCall::Renewal,
     ];
 
-    /// Returns its name in metrics.
+    /// Returns the name of the kind in metrics.
     pub fn name(self) -> &'static str {
         match self {
             StoreCall::Read => "read",
-            StoreCall::OldRead => "old_read",
+            StoreCall::StaleRead => "old_read",
             StoreCall::Watch => "watch",
             StoreCall::Write => "write",
             StoreCall::Lease => "lease",
@@ -54,51 +55,51 @@
     }
 }
 
-/// Counts of calls by kind; a listing in several pages counts as one.
+/// Numbers of calls by kind; a listing that takes several pages counts once.
 type Counts = [AtomicU64; StoreCall::ALL.len()];
 
-/// A client of the store that counts its calls.
+/// A client of the store that counts the calls it makes.
 pub struct Client {
-    by: By,
+    inner: ProtocolClient,
     calls: Arc<Counts>,
 }
 
-/// The client by protocol.
-enum By {
-    /// The gateway of etcd.
+/// A client of one of the two protocols.
+enum ProtocolClient {
+    /// The JSON gateway of etcd.
     Etcd(Etcd),
     /// The metadata store of the users' platform.
-    Hosted(Hosted),
+    MetadataStore(MetadataStore),
 }
 
-/// A watch that counts its calls.
+/// A watch that counts the times it waits for changes.
 pub struct ClientWatch {
-    by: WatchBy,
+    inner: ProtocolWatch,
     calls: Arc<Counts>,
 }
 
-/// The watch by protocol.
-enum WatchBy {
+/// A watch of one of the two protocols.
+enum ProtocolWatch {
     Etcd(EtcdWatch),
-    Hosted(HostedWatch),
+    MetadataStore(MetadataStoreWatch),
 }
 
 impl Client {
-    fn new(by: By) -> Client {
-        Client { by, calls: Arc::default() }
+    fn new(inner: ProtocolClient) -> Client {
+        Client { inner, calls: Arc::default() }
     }
 
-    /// Returns how many calls of a kind were made.
+    /// Returns the number of calls of a kind.
     pub fn calls(&self, call: StoreCall) -> u64 {
         self.calls[call as usize].load(Ordering::Relaxed)
     }
 
-    /// Returns the store's era, once it has answered: it rises each time that the store
-    /// comes back from a copy.
+    /// Returns the store's era, which rises each time that the store is restored from a
+    /// copy. `None` until the store has answered, and always for etcd.
     pub fn era(&self) -> Option<u64> {
-        match &self.by {
-            By::Etcd(_) => None,
-            By::Hosted(store) => store.era(),
+        match &self.inner {
+            ProtocolClient::Etcd(_) => None,
+            ProtocolClient::MetadataStore(store) => store.era(),
         }
     }
 
@@ -108,21 +109,21 @@
 
     /// Makes a client of etcd.
     pub fn etcd(addrs: Vec<SocketAddr>) -> Client {
-        Client::new(By::Etcd(Etcd::new(addrs)))
+        Client::new(ProtocolClient::Etcd(Etcd::new(addrs)))
     }
 
     /// Makes a client of the metadata store.
     pub fn metadata_store(addrs: &[SocketAddr]) -> Client {
-        Client::new(By::Hosted(Hosted::new(addrs.first().copied())))
+        Client::new(ProtocolClient::MetadataStore(MetadataStore::new(addrs.first().copied())))
     }
 }
 
 macro_rules! forward {
     ($self:ident, $kind:ident, $store:ident => $call:expr) => {{
         $self.count(StoreCall::$kind);
-        match &$self.by {
-            By::Etcd($store) => $call,
-            By::Hosted($store) => $call,
+        match &$self.inner {
+            ProtocolClient::Etcd($store) => $call,
+            ProtocolClient::MetadataStore($store) => $call,
         }
     }};
 }
@@ -143,7 +144,7 @@
     }
 
     async fn list_maybe_old(&self, prefix: &str) -> Result<Vec<Pair>, PlatformError> {
-        forward!(self, OldRead, store => store.list_maybe_old(prefix).await)
+        forward!(self, StaleRead, store => store.list_maybe_old(prefix).await)
     }
 
     async fn put_many(&self, pairs: &[(String, Vec<u8>)]) -> Result<(), PlatformError> {
@@ -190,11 +191,15 @@
         prefix: &str,
         after: Revision,
     ) -> Result<ClientWatch, PlatformError> {
-        let by = match &self.by {
-            By::Etcd(store) => store.watch_from(prefix, after).await.map(WatchBy::Etcd)?,
-            By::Hosted(store) => store.watch_from(prefix, after).await.map(WatchBy::Hosted)?,
+        let inner = match &self.inner {
+            ProtocolClient::Etcd(store) => {
+                store.watch_from(prefix, after).await.map(ProtocolWatch::Etcd)?
+            }
+            ProtocolClient::MetadataStore(store) => {
+                store.watch_from(prefix, after).await.map(ProtocolWatch::MetadataStore)?
+            }
         };
-        Ok(ClientWatch { by, calls: self.calls.clone() })
+        Ok(ClientWatch { inner, calls: self.calls.clone() })
     }
 
     async fn list_and_watch(
@@ -202,33 +207,36 @@
         prefix: &str,
     ) -> Result<(Vec<Pair>, ClientWatch), PlatformError> {
         self.count(StoreCall::Read);
-        let (pairs, by) = match &self.by {
-            By::Etcd(store) => {
-                store.list_and_watch(prefix).await.map(|(p, w)| (p, WatchBy::Etcd(w)))?
-            }
-            By::Hosted(store) => {
-                store.list_and_watch(prefix).await.map(|(p, w)| (p, WatchBy::Hosted(w)))?
+        let (pairs, inner) = match &self.inner {
+            ProtocolClient::Etcd(store) => {
+                store.list_and_watch(prefix).await.map(|(p, w)| (p, ProtocolWatch::Etcd(w)))?
             }
+            ProtocolClient::MetadataStore(store) => store
+                .list_and_watch(prefix)
+                .await
+                .map(|(p, w)| (p, ProtocolWatch::MetadataStore(w)))?,
         };
-        Ok((pairs, ClientWatch { by, calls: self.calls.clone() }))
+        Ok((pairs, ClientWatch { inner, calls: self.calls.clone() }))
     }
 
     async fn watch(&self, prefix: &str) -> Result<ClientWatch, PlatformError> {
         self.count(StoreCall::Read);
-        let by = match &self.by {
-            By::Etcd(store) => store.watch(prefix).await.map(WatchBy::Etcd)?,
-            By::Hosted(store) => store.watch(prefix).await.map(WatchBy::Hosted)?,
+        let inner = match &self.inner {
+            ProtocolClient::Etcd(store) => store.watch(prefix).await.map(ProtocolWatch::Etcd)?,
+            ProtocolClient::MetadataStore(store) => {
+                store.watch(prefix).await.map(ProtocolWatch::MetadataStore)?
+            }
         };
-        Ok(ClientWatch { by, calls: self.calls.clone() })
+        Ok(ClientWatch { inner, calls: self.calls.clone() })
     }
 }
 
 impl Watch for ClientWatch {
     async fn next(&mut self) -> Result<Vec<Change>, PlatformError> {
         self.calls[StoreCall::Watch as usize].fetch_add(1, Ordering::Relaxed);
-        match &mut self.by {
-            WatchBy::Etcd(watch) => watch.next().await,
-            WatchBy::Hosted(watch) => watch.next().await,
+        match &mut self.inner {
+            ProtocolWatch::Etcd(watch) => watch.next().await,
+            ProtocolWatch::MetadataStore(watch) => watch.next().await,
         }
     }
 }
