--- a/spec/src/head.rs
+++ b/spec/src/head.rs
@@ -1,18 +1,18 @@
-//! The order of versions: racing operators, and answers that are lost.
+//! Model of the total order of versions, with concurrent operators and lost answers.
 //!
-//! Clients use the real [`settle`] and [`Head::successor`]; the platform is its
-//! published contract: a compare-and-swap takes effect or not, and its answer may
-//! be lost either way.
+//! Clients run the production code of [`settle`] and [`Head::successor`]. The store is
+//! modelled by its documented contract: a compare-and-swap takes effect or not, and its
+//! answer may be lost in both cases.
 
 use cicadashift_core::delivery::head::{Head, Settled, settle};
 use cicadashift_core::ids::{ObjectHash, Version};
 
-/// Safeguards that the exploration can take out.
+/// Safeguards that an exploration can switch off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HeadGuards {
-    /// The platform compares before it writes.
+    /// The store compares the revision before it writes.
     pub compare: bool,
-    /// A client looks for its operation's id before it tries again.
+    /// A client looks up the id of its operation in the head before it retries.
     pub settle_by_id: bool,
 }
 
@@ -21,91 +21,91 @@
     pub const ALL: HeadGuards = HeadGuards { compare: true, settle_by_id: true };
 }
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum HeadBroken {
-    /// An operation made two versions.
+pub enum HeadViolation {
+    /// An operation created two versions.
     AppliedTwice { client: usize },
-    /// A version that was accepted is gone from the order.
+    /// An accepted version is missing from the order.
     Overwritten { version: Version },
-    /// A client was told that its operation is done, and it is not.
+    /// A client concluded that its operation took effect, but it did not.
     FalselyDone { client: usize },
 }
 
-/// Where a client is.
+/// The progress of a client's operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Client {
-    /// Has read the head at this revision.
-    Ready { base: Version, revision: u64, head: Seen },
-    /// Its answer was lost, or it lost the race.
-    Unsure { base: Version },
-    /// Was told that it took effect.
+    /// The client has read the head at this revision.
+    Ready { base: Version, revision: u64, head: History },
+    /// Another write came first, or the request or its answer was lost.
+    Unconfirmed { base: Version },
+    /// The operation is known to have taken effect.
     Done,
-    /// Has not begun, or looks again from here.
-    Fresh,
-    /// Was told that it cannot be known.
-    GaveUp,
+    /// The client has not read the head yet.
+    NotStarted,
+    /// It cannot be determined whether the operation took effect.
+    OutcomeUnknown,
 }
 
-/// A head as a client saw it; versions and ids are all that matters.
-type Seen = Vec<(usize, Version)>;
+/// The operations in a head, as pairs of a client and a version; the model needs no more.
+type History = Vec<(usize, Version)>;
 
-/// One state: the platform's head and the clients.
+/// One state of the model: the head in the store and the clients.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct HeadWorld {
+pub struct HeadState {
     guards: HeadGuards,
     revision: u64,
-    head: Seen,
+    head: History,
     applied: Vec<u32>,
     clients: Vec<Client>,
     attempts: u32,
-    broken: Option<HeadBroken>,
+    violation: Option<HeadViolation>,
 }
 
-impl HeadWorld {
-    /// Returns the state before anybody has read, with `attempts` writes left.
-    pub fn start(clients: usize, attempts: u32, guards: HeadGuards) -> HeadWorld {
-        HeadWorld {
+impl HeadState {
+    /// Returns the state before any client has read, with `attempts` writes left.
+    pub fn start(clients: usize, attempts: u32, guards: HeadGuards) -> HeadState {
+        HeadState {
             guards,
             revision: 0,
             head: Vec::new(),
             applied: vec![0; clients],
-            clients: vec![Client::Fresh; clients],
+            clients: vec![Client::NotStarted; clients],
             attempts,
-            broken: None,
+            violation: None,
         }
     }
 
-    /// Returns the invariant that this state breaks, if any.
-    pub fn broken(&self) -> Option<HeadBroken> {
-        self.broken
+    /// Returns the invariant that this state violates, if any.
+    pub fn violation(&self) -> Option<HeadViolation> {
+        self.violation
     }
 
-    /// Returns every state that can follow.
-    pub fn successors(&self) -> Vec<HeadWorld> {
-        if self.broken.is_some() {
+    /// Returns all successor states.
+    pub fn successors(&self) -> Vec<HeadState> {
+        if self.violation.is_some() {
             return Vec::new();
         }
         (0..self.clients.len()).flat_map(|i| self.steps_of(i)).collect()
     }
 
-    fn steps_of(&self, i: usize) -> Vec<HeadWorld> {
+    fn steps_of(&self, i: usize) -> Vec<HeadState> {
         match &self.clients[i] {
-            Client::Fresh => vec![self.read(i, None)],
-            Client::Unsure { base } => vec![self.read(i, Some(*base))],
+            Client::NotStarted => vec![self.read(i, None)],
+            Client::Unconfirmed { base } => vec![self.read(i, Some(*base))],
             Client::Ready { .. } if self.attempts > 0 => {
-                vec![self.write(i, false), self.write(i, true), self.never_arrives(i)]
+                vec![self.write(i, false), self.write(i, true), self.lose_request(i)]
             }
-            Client::Ready { .. } | Client::Done | Client::GaveUp => Vec::new(),
+            Client::Ready { .. } | Client::Done | Client::OutcomeUnknown => Vec::new(),
         }
     }
 
-    fn read(&self, i: usize, base: Option<Version>) -> HeadWorld {
+    fn read(&self, i: usize, base: Option<Version>) -> HeadState {
         let mut next = self.clone();
-        let head = real(&self.head);
+        let head = to_head(&self.head);
         let base_version = base.unwrap_or(head.version);
         let settled = match (base, self.guards.settle_by_id) {
-            (Some(base), true) => settle(&head, &id(i), base),
+            (Some(base), true) => settle(&head, &op_id(i), base),
             _ => Ok(Settled::Retry),
         };
         next.clients[i] = match settled {
@@ -115,66 +115,67 @@
                 revision: self.revision,
                 head: self.head.clone(),
             },
-            Err(_) => Client::GaveUp,
+            Err(_) => Client::OutcomeUnknown,
         };
         if next.clients[i] == Client::Done && self.applied[i] == 0 {
-            next.broken = Some(HeadBroken::FalselyDone { client: i });
+            next.violation = Some(HeadViolation::FalselyDone { client: i });
         }
         next
     }
 
-    fn write(&self, i: usize, answer_lost: bool) -> HeadWorld {
+    fn write(&self, i: usize, answer_lost: bool) -> HeadState {
         let mut next = self.clone();
         let Client::Ready { base, revision, head } = &self.clients[i] else { return next };
         next.attempts -= 1;
         let base = *base;
         if self.guards.compare && *revision != self.revision {
-            next.clients[i] = Client::Unsure { base };
+            next.clients[i] = Client::Unconfirmed { base };
             return next;
         }
-        let version = real(head).successor(&id(i), ObjectHash::of(b""), 0).version;
+        let version = to_head(head).successor(&op_id(i), ObjectHash::of(b""), 0).version;
         let mut written = head.clone();
         written.push((i, version));
-        if let Some((_, gone)) = self.head.iter().find(|op| !written.contains(op)) {
-            next.broken = Some(HeadBroken::Overwritten { version: *gone });
+        if let Some((_, missing)) = self.head.iter().find(|op| !written.contains(op)) {
+            next.violation = Some(HeadViolation::Overwritten { version: *missing });
         }
         next.head = written;
         next.revision += 1;
         next.applied[i] += 1;
         if next.applied[i] > 1 {
-            next.broken = Some(HeadBroken::AppliedTwice { client: i });
+            next.violation = Some(HeadViolation::AppliedTwice { client: i });
         }
-        next.clients[i] = if answer_lost { Client::Unsure { base } } else { Client::Done };
+        next.clients[i] = if answer_lost { Client::Unconfirmed { base } } else { Client::Done };
         next
     }
 
-    fn never_arrives(&self, i: usize) -> HeadWorld {
+    fn lose_request(&self, i: usize) -> HeadState {
         let mut next = self.clone();
         if let Client::Ready { base, .. } = self.clients[i] {
             next.attempts -= 1;
-            next.clients[i] = Client::Unsure { base };
+            next.clients[i] = Client::Unconfirmed { base };
         }
         next
     }
 }
 
-/// Visits every state; returns their number and the first invariant broken.
-pub fn explore(start: HeadWorld) -> (usize, Option<HeadBroken>) {
+/// Visits all reachable states until an invariant is violated; returns the number of
+/// visited states and the first violation.
+pub fn explore(start: HeadState) -> (usize, Option<HeadViolation>) {
     let mut states = 0;
-    for world in pathfinding::directed::bfs::bfs_reach(start, |world| world.successors()) {
+    for state in pathfinding::directed::bfs::bfs_reach(start, |state| state.successors()) {
         states += 1;
-        if let Some(broken) = world.broken() {
-            return (states, Some(broken));
+        if let Some(violation) = state.violation() {
+            return (states, Some(violation));
         }
     }
     (states, None)
 }
 
-fn real(seen: &Seen) -> Head {
-    let first = Head::default();
-    seen.iter().fold(first, |head, (i, _)| head.successor(&id(*i), ObjectHash::of(b""), 0))
+fn to_head(history: &History) -> Head {
+    let empty = Head::default();
+    history.iter().fold(empty, |head, (i, _)| head.successor(&op_id(*i), ObjectHash::of(b""), 0))
 }
 
-fn id(i: usize) -> String {
+fn op_id(i: usize) -> String {
     format!("op-{i}")
 }
--- a/spec/src/lib.rs
+++ b/spec/src/lib.rs
@@ -1,37 +1,38 @@
-//! The core protocol as a small specification, explored exhaustively.
+//! Model of the core protocol, explored exhaustively.
 //!
-//! A [`World`] holds the real state machines of `cicadashift-core` for a few
-//! hosts of one failure domain, the platform's head, and everything that was
-//! ever said. [`World::steps`] lists all that can happen next. A search from
-//! [`World::start`] then visits every state that can be reached.
+//! A [`State`] holds the production state machines of `cicadashift-core` for a few hosts
+//! of one failure domain, the head in the store, and every testimony that was sent.
+//! [`State::steps`] lists the steps that are possible next. A search from
+//! [`State::start`] visits every reachable state.
 //!
-//! # What is covered without being written down
+//! # What the model covers implicitly
 //!
-//! Networks are modelled by memory: what was once said can be delivered at any
-//! later moment, any number of times, or never. That covers loss, repetition,
-//! reordering, cuts of any shape, and paused senders, without message queues.
-//! An outage of the platform is a stretch in which nobody happens to read it.
-//! Other failure domains and readers appear as what they can do: pass on the
-//! head, offer, ask for promises, pass on that a version is active. A reader
-//! whose lease has lapsed can do nothing else, so it is covered too.
+//! The network is modelled by the set of sent testimonies: each can be delivered at any
+//! later moment, any number of times, or never. This covers loss, duplication,
+//! reordering, any partition and paused senders, without message queues. An outage of the
+//! store is an interval in which no host reads it. Other failure domains and readers
+//! appear only through their possible effects: they pass on the head, offer versions, ask
+//! for promises, and pass on that a version is active. A reader whose lease has expired
+//! can do nothing else, so it is covered too.
 //!
-//! # What is left out to keep the search small, and why that is sound
+//! # What the model omits to keep the search small, and why this is sound
 //!
-//! - Unless [`Size::lazy`] is set, a host holds every accepted version at once.
-//!   Holding later only makes it promise and run later, which other steps may do
-//!   as well.
-//! - A witness's answer to a fresh host arrives at once or never. An answer that
-//!   comes later is the same as one that was asked for earlier and acted on
-//!   later. Only where [`Guards::match_answers`] is off are old answers kept.
-//! - Promises are counted by an observer that may know any two of them, in place
-//!   of each host counting what it happened to hear. Knowing more promises only
-//!   makes the count stricter, since it can show that a life is over.
-//! - Of two equal promises of one witness, only the one that knows less of other
-//!   lives is kept, for the same reason.
-//! - A host that runs something no longer listens to answers; its state machine
-//!   ignores them too.
+//! - Unless [`Bounds::hold_as_step`] is set, a host holds every accepted version at once.
+//!   Holding a version later only delays promising and running it, and other steps can
+//!   cause the same delay.
+//! - A witness's answer to a fresh host (one that has started and runs no version yet)
+//!   arrives at once or never. An answer that arrives later is equivalent to one that was
+//!   requested earlier and processed later. Old answers are kept only where
+//!   [`Guards::match_answers`] is off.
+//! - Promises are counted by an observer that may know any two of them, instead of by
+//!   each host from the promises that it received. Knowing more promises only makes the
+//!   count stricter, since they can show that an incarnation is over.
+//! - Of two equal promises of one witness, only the one that knows fewer incarnations of
+//!   other hosts is kept, for the same reason.
+//! - A host that runs a version no longer receives answers; its state machine ignores
+//!   them too.
 //!
-//! [`head`] explores the other half: the total order of versions.
+//! [`head`] explores the other part of the protocol: the total order of versions.
 
 use cicadashift_core::delivery::node::{Action, Event, Guards, Node};
 use cicadashift_core::delivery::witness::{Panel, Testimonies, Testimony};
@@ -43,54 +44,54 @@
 
 /// Bounds of an exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Size {
+pub struct Bounds {
     /// Hosts, all of them witnesses.
     pub hosts: u64,
     /// Highest version accepted.
     pub versions: Version,
-    /// Crashes in all; each brings the host back empty at once.
+    /// Total number of crashes; after each the host restarts at once without any state.
     pub crashes: u32,
-    /// Whether holding a version is a step of its own.
-    pub lazy: bool,
+    /// Whether holding a version is a separate step, so that it can be delayed.
+    pub hold_as_step: bool,
 }
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Broken {
-    /// A host ran an older version than it had run, in any of its lives.
-    WentBack { host: u64, ran: Version, runs: Version },
+pub enum Violation {
+    /// A host runs an older version than it ran before, in this or an earlier incarnation.
+    Regressed { host: u64, highest_run: Version, runs: Version },
     /// A host runs a version that was never accepted.
     AheadOfHead { host: u64 },
-    /// A witness promised what it cannot hand to those who need it.
+    /// A witness promised a version whose objects it does not have and thus cannot serve.
     PromisedWithoutHolding { host: u64 },
 }
 
-/// One step, as a counterexample shows it.
+/// One step of the model. Counterexamples print the steps by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// An operator accepts a version.
     Accept,
-    /// A fresh host's read of the head is answered.
+    /// A fresh host reads the head.
     ReadHead(u64),
-    /// Somebody asks a witness for a promise.
+    /// A reader or a recovering daemon asks a witness to promise a version.
     AskPromise(u64, Version),
-    /// A host has fetched and checked a version.
+    /// A host has fetched and validated a version.
     Hold(u64, Version),
-    /// A fresh host asks a witness and gets its answer.
+    /// A fresh host asks a witness for its floor and receives the answer.
     AskFloor { from: u64, to: u64 },
-    /// An old answer, by position in what was said, reaches a host.
+    /// A host receives an old answer, by position in the answers sent.
     Hear(u64, usize),
-    /// Somebody counts two promises, by position, and a version is active.
+    /// Two promises, by position, are counted, which may show that a version is active.
     Count(usize, usize),
-    /// News that a version is active reaches a host.
+    /// A host is informed that a version is active.
     HearActive(u64, Version),
-    /// A host dies and starts again with nothing.
+    /// A host crashes and restarts without any state.
     Crash(u64),
 }
 
-/// What a witness once said; ordered, so that sets of it compare.
+/// A testimony that a witness sent; ordered, so that sets of testimonies compare.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Said {
+struct SentTestimony {
     witness: HostKey,
     life: Incarnation,
     promised: Version,
@@ -98,10 +99,11 @@
     answers: Option<(HostKey, Incarnation)>,
 }
 
-impl Said {
-    /// Returns whether counting this promise allows all that counting the other
-    /// would: the same promise, knowing of no more lives.
-    fn permits_what(&self, other: &Said) -> bool {
+impl SentTestimony {
+    /// Returns whether counting this promise permits everything that counting the other
+    /// would: it is the same promise, and for each host it knows of no newer incarnation
+    /// than the other.
+    fn subsumes(&self, other: &SentTestimony) -> bool {
         let same =
             (self.witness, self.life, self.promised) == (other.witness, other.life, other.promised);
         let knows = |host, life: &Incarnation| other.lives.get(host).is_some_and(|l| l >= life);
@@ -109,97 +111,97 @@
     }
 }
 
-impl From<Testimony> for Said {
-    fn from(t: Testimony) -> Said {
+impl From<Testimony> for SentTestimony {
+    fn from(t: Testimony) -> SentTestimony {
         let Testimony { witness, life, promised, lives, answers } = t;
-        Said { witness, life, promised, lives, answers }
+        SentTestimony { witness, life, promised, lives, answers }
     }
 }
 
-impl From<&Said> for Testimony {
-    fn from(said: &Said) -> Testimony {
-        let Said { witness, life, promised, lives, answers } = said.clone();
+impl From<&SentTestimony> for Testimony {
+    fn from(testimony: &SentTestimony) -> Testimony {
+        let SentTestimony { witness, life, promised, lives, answers } = testimony.clone();
         Testimony { witness, life, promised, lives, answers }
     }
 }
 
-/// One state of the whole system.
+/// One state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World {
-    size: Size,
+pub struct State {
+    bounds: Bounds,
     guards: Guards,
-    /// Shared between states: most steps change one host, and a million states
-    /// would not fit into memory otherwise.
+    /// Shared between states, since most steps change one host and a million states would
+    /// not fit into memory otherwise.
     nodes: Vec<Rc<Node>>,
-    lives: Vec<Incarnation>,
+    incarnations: Vec<Incarnation>,
     head: Version,
     crashes: u32,
-    promises: Rc<BTreeSet<Said>>,
-    answers: BTreeSet<Said>,
+    promises: Rc<BTreeSet<SentTestimony>>,
+    answers: BTreeSet<SentTestimony>,
     active: BTreeSet<Version>,
-    ran: Vec<Version>,
-    broken: Option<Broken>,
+    highest_run: Vec<Version>,
+    violation: Option<Violation>,
 }
 
-impl World {
-    /// Returns the state in which every host runs version one and remembers
-    /// that, as after a quiet day.
-    pub fn start(size: Size, guards: Guards) -> World {
-        let count = size.hosts as usize;
-        let mut world = World {
-            size,
+impl State {
+    /// Returns the state in which every host runs, holds and has promised version one, as
+    /// in a mesh without recent changes: no earlier testimony can still be delivered.
+    pub fn start(bounds: Bounds, guards: Guards) -> State {
+        let count = bounds.hosts as usize;
+        let mut state = State {
+            bounds,
             guards,
-            nodes: (0..size.hosts).map(|i| Rc::new(fresh(size, guards, i, 1))).collect(),
-            lives: vec![1; count],
+            nodes: (0..bounds.hosts).map(|i| Rc::new(fresh_node(bounds, guards, i, 1))).collect(),
+            incarnations: vec![1; count],
             head: 1,
-            crashes: size.crashes,
+            crashes: bounds.crashes,
             promises: Rc::default(),
             answers: BTreeSet::new(),
             active: BTreeSet::from([1]),
-            ran: vec![0; count],
-            broken: None,
+            highest_run: vec![0; count],
+            violation: None,
         };
-        for i in 0..size.hosts {
-            world.event(i, Event::HeadRead(1));
-            world.event(i, Event::Held(1));
-            world.event(i, Event::PromiseAsked(1));
-            world.event(i, Event::Activated(1));
+        for i in 0..bounds.hosts {
+            state.event(i, Event::HeadRead(1));
+            state.event(i, Event::Held(1));
+            state.event(i, Event::PromiseAsked(1));
+            state.event(i, Event::Activated(1));
         }
-        world.promises = Rc::default();
-        world
+        state.promises = Rc::default();
+        state
     }
 
-    /// Returns the invariant that this state breaks, if any.
-    pub fn broken(&self) -> Option<Broken> {
-        self.broken
+    /// Returns the invariant that this state violates, if any.
+    pub fn violation(&self) -> Option<Violation> {
+        self.violation
     }
 
-    /// Returns every state that can follow.
-    pub fn successors(&self) -> Vec<World> {
-        if self.broken.is_some() {
+    /// Returns all successor states.
+    pub fn successors(&self) -> Vec<State> {
+        if self.violation.is_some() {
             return Vec::new();
         }
         self.steps().into_iter().map(|step| self.after(step)).filter(|next| next != self).collect()
     }
 
     /// Returns the state after a step.
-    pub fn after(&self, step: Step) -> World {
+    pub fn after(&self, step: Step) -> State {
         let mut next = self.clone();
         next.apply(step);
-        next.forget();
+        next.prune_promises();
         next
     }
 
-    /// Returns all that can happen next.
+    /// Returns the steps that are possible in this state.
     pub fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.head < self.size.versions {
+        if self.head < self.bounds.versions {
             steps.push(Step::Accept);
         }
         for a in 0..self.promises.len() {
             steps.extend((a + 1..self.promises.len()).map(|b| Step::Count(a, b)));
         }
-        for i in 0..self.size.hosts {
+        for i in 0..self.bounds.hosts {
             self.steps_of(i, &mut steps);
         }
         steps
@@ -209,18 +211,18 @@
         let node = &self.nodes[i as usize];
         if node.running() == 0 {
             steps.push(Step::ReadHead(i));
-            let others = (0..self.size.hosts).filter(|to| *to != i);
+            let others = (0..self.bounds.hosts).filter(|to| *to != i);
             steps.extend(others.map(|to| Step::AskFloor { from: i, to }));
             steps.extend((0..self.answers.len()).map(|n| Step::Hear(i, n)));
         }
-        if self.size.lazy {
+        if self.bounds.hold_as_step {
             let versions = (1..=self.head).filter(|version| *version > node.held());
             steps.extend(versions.map(|version| Step::Hold(i, version)));
         }
         let versions = (1..=self.head).filter(|version| *version > node.promised());
         steps.extend(versions.map(|version| Step::AskPromise(i, version)));
-        let news = self.active.iter().filter(|version| **version > node.active());
-        steps.extend(news.map(|version| Step::HearActive(i, *version)));
+        let undelivered = self.active.iter().filter(|version| **version > node.active());
+        steps.extend(undelivered.map(|version| Step::HearActive(i, *version)));
         if self.crashes > 0 {
             steps.push(Step::Crash(i));
         }
@@ -230,15 +232,15 @@
         match step {
             Step::Accept => {
                 self.head += 1;
-                (0..self.size.hosts).for_each(|i| self.hold_all(i));
+                (0..self.bounds.hosts).for_each(|i| self.mark_all_held(i));
             }
             Step::ReadHead(i) => self.event(i, Event::HeadRead(self.head)),
             Step::AskPromise(i, version) => self.event(i, Event::PromiseAsked(version)),
             Step::Hold(i, version) => self.event(i, Event::Held(version)),
             Step::AskFloor { from, to } => self.ask_floor(from, to),
             Step::Hear(i, n) => {
-                if let Some(said) = self.answers.iter().nth(n).map(Testimony::from) {
-                    self.event(i, Event::Testified(said));
+                if let Some(testimony) = self.answers.iter().nth(n).map(Testimony::from) {
+                    self.event(i, Event::Testified(testimony));
                 }
             }
             Step::Count(a, b) => self.count(a, b),
@@ -248,25 +250,25 @@
     }
 
     fn ask_floor(&mut self, from: u64, to: u64) {
-        let life = self.lives[from as usize];
-        let ask = Event::FloorAsked { from: HostKey(from), life };
-        let actions = Rc::make_mut(&mut self.nodes[to as usize]).on(ask);
+        let life = self.incarnations[from as usize];
+        let event = Event::FloorAsked { from: HostKey(from), life };
+        let actions = Rc::make_mut(&mut self.nodes[to as usize]).on(event);
         for action in actions {
-            if let Action::Testify(said) = action {
-                self.hear(said.clone().into());
-                self.event(from, Event::Testified(said));
+            if let Action::Testify(testimony) = action {
+                self.record_testimony(testimony.clone().into());
+                self.event(from, Event::Testified(testimony));
             }
         }
     }
 
     fn count(&mut self, a: usize, b: usize) {
-        let mut known = Testimonies::default();
+        let mut testimonies = Testimonies::default();
         for n in [a, b] {
-            if let Some(said) = self.promises.iter().nth(n) {
-                known.add(Testimony::from(said));
+            if let Some(testimony) = self.promises.iter().nth(n) {
+                testimonies.add(Testimony::from(testimony));
             }
         }
-        let active = known.active(&panel(self.size), self.guards.check_lives);
+        let active = testimonies.active(&panel(self.bounds), self.guards.check_lives);
         if active > 0 {
             self.active.insert(active);
         }
@@ -275,13 +277,14 @@
     fn crash(&mut self, i: u64) {
         self.crashes -= 1;
         let slot = i as usize;
-        self.lives[slot] += 1;
-        self.nodes[slot] = Rc::new(fresh(self.size, self.guards, i, self.lives[slot]));
-        self.hold_all(i);
+        self.incarnations[slot] += 1;
+        self.nodes[slot] =
+            Rc::new(fresh_node(self.bounds, self.guards, i, self.incarnations[slot]));
+        self.mark_all_held(i);
     }
 
-    fn hold_all(&mut self, i: u64) {
-        if !self.size.lazy {
+    fn mark_all_held(&mut self, i: u64) {
+        if !self.bounds.hold_as_step {
             (1..=self.head).for_each(|version| self.event(i, Event::Held(version)));
         }
     }
@@ -290,9 +293,9 @@
         let slot = i as usize;
         for action in Rc::make_mut(&mut self.nodes[slot]).on(event) {
             match action {
-                Action::Testify(testimony) => self.hear(testimony.into()),
+                Action::Testify(testimony) => self.record_testimony(testimony.into()),
                 Action::Run(version) => self.check_run(i, version),
-                // What these ask for may happen at any time in any case.
+                // The steps that these actions ask for are possible at any time anyway.
                 Action::Stage(_) | Action::AskPromises(_) | Action::Decline => {}
             }
         }
@@ -301,91 +304,93 @@
             self.active.insert(node.active());
         }
         if node.promised() > node.held().max(node.running()) {
-            self.broken = Some(Broken::PromisedWithoutHolding { host: i });
+            self.violation = Some(Violation::PromisedWithoutHolding { host: i });
         }
     }
 
-    fn hear(&mut self, said: Said) {
-        if said.answers.is_some() && !self.guards.match_answers {
-            self.answers.insert(said.clone());
+    fn record_testimony(&mut self, testimony: SentTestimony) {
+        if testimony.answers.is_some() && !self.guards.match_answers {
+            self.answers.insert(testimony.clone());
         }
-        let said = Said { answers: None, ..said };
-        if self.promises.iter().any(|held| held.permits_what(&said)) {
+        let testimony = SentTestimony { answers: None, ..testimony };
+        if self.promises.iter().any(|kept| kept.subsumes(&testimony)) {
             return;
         }
         let promises = Rc::make_mut(&mut self.promises);
-        promises.retain(|held| !said.permits_what(held));
-        promises.insert(said);
+        promises.retain(|kept| !testimony.subsumes(kept));
+        promises.insert(testimony);
     }
 
-    /// Drops what can have no effect any more.
-    fn forget(&mut self) {
-        let known = self.active.last().copied().unwrap_or(0);
-        if self.promises.iter().any(|said| said.promised <= known) {
-            Rc::make_mut(&mut self.promises).retain(|said| said.promised > known);
+    /// Drops promises that can have no further effect, since their version or a newer one
+    /// is active.
+    fn prune_promises(&mut self) {
+        let newest_active = self.active.last().copied().unwrap_or(0);
+        if self.promises.iter().any(|testimony| testimony.promised <= newest_active) {
+            Rc::make_mut(&mut self.promises).retain(|testimony| testimony.promised > newest_active);
         }
     }
 
     fn check_run(&mut self, i: u64, version: Version) {
-        let ran = &mut self.ran[i as usize];
-        if version < *ran {
-            self.broken = Some(Broken::WentBack { host: i, ran: *ran, runs: version });
+        let highest_run = &mut self.highest_run[i as usize];
+        if version < *highest_run {
+            self.violation =
+                Some(Violation::Regressed { host: i, highest_run: *highest_run, runs: version });
         }
         if version > self.head {
-            self.broken = Some(Broken::AheadOfHead { host: i });
+            self.violation = Some(Violation::AheadOfHead { host: i });
         }
-        *ran = version.max(*ran);
+        *highest_run = version.max(*highest_run);
     }
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Explored {
+pub struct Exploration {
     /// States visited.
     pub states: usize,
-    /// Whether every state that can be reached was visited.
-    pub whole: bool,
-    /// The invariant broken first, by the fewest steps, if any.
-    pub broken: Option<Broken>,
+    /// Whether every reachable state was visited.
+    pub complete: bool,
+    /// The first violation found, with the fewest steps, if any.
+    pub violation: Option<Violation>,
 }
 
-/// Visits every state that can be reached, or `most` of them.
+/// Visits every reachable state, up to `max_states`.
 ///
-/// The search is breadth first, so what it finds first takes the fewest steps.
-pub fn explore(size: Size, guards: Guards, most: usize) -> Explored {
-    let start = World::start(size, guards);
+/// The search is breadth first, so the first violation found takes the fewest steps.
+pub fn explore(bounds: Bounds, guards: Guards, max_states: usize) -> Exploration {
+    let start = State::start(bounds, guards);
     let mut states = 0;
-    for world in pathfinding::directed::bfs::bfs_reach(start, |world| world.successors()) {
+    for state in pathfinding::directed::bfs::bfs_reach(start, |state| state.successors()) {
         states += 1;
-        if let Some(broken) = world.broken() {
-            return Explored { states, whole: false, broken: Some(broken) };
+        if let Some(violation) = state.violation() {
+            return Exploration { states, complete: false, violation: Some(violation) };
         }
-        if states >= most {
-            return Explored { states, whole: false, broken: None };
+        if states >= max_states {
+            return Exploration { states, complete: false, violation: None };
         }
     }
-    Explored { states, whole: true, broken: None }
+    Exploration { states, complete: true, violation: None }
 }
 
-/// Returns the shortest way to a broken invariant, step by step.
-pub fn counterexample(size: Size, guards: Guards) -> Option<Vec<Step>> {
-    let start = World::start(size, guards);
+/// Returns the steps of a shortest path to a violation, if there is one.
+pub fn counterexample(bounds: Bounds, guards: Guards) -> Option<Vec<Step>> {
+    let start = State::start(bounds, guards);
     let path = pathfinding::directed::bfs::bfs(
         &start,
-        |world| world.successors(),
-        |world| world.broken().is_some(),
+        |state| state.successors(),
+        |state| state.violation().is_some(),
     )?;
-    let named = path.windows(2).map(|pair| {
+    let steps_taken = path.windows(2).map(|pair| {
         let steps = pair[0].steps();
         steps.into_iter().find(|step| pair[0].after(*step) == pair[1])
     });
-    named.collect()
+    steps_taken.collect()
 }
 
-fn panel(size: Size) -> Panel {
-    Panel::new((0..size.hosts).map(HostKey))
+fn panel(bounds: Bounds) -> Panel {
+    Panel::new((0..bounds.hosts).map(HostKey))
 }
 
-fn fresh(size: Size, guards: Guards, i: u64, life: Incarnation) -> Node {
-    Node::new(HostKey(i), life, panel(size), guards)
+fn fresh_node(bounds: Bounds, guards: Guards, i: u64, life: Incarnation) -> Node {
+    Node::new(HostKey(i), life, panel(bounds), guards)
 }
--- a/spec/tests/floor.rs
+++ b/spec/tests/floor.rs
@@ -1,28 +1,29 @@
-//! No host goes back, whatever is lost, late, doubled, cut off or restarted.
+//! No host runs an older version than before, whatever messages are lost, delayed,
+//! duplicated or partitioned off and whichever hosts restart.
 //!
-//! Each safeguard is then taken out in turn, and the shortest way to a broken
-//! promise is kept as a snapshot that reads as a story.
+//! Each safeguard is then switched off in turn, and the shortest counterexample is kept
+//! as a snapshot.
 
 use cicadashift_core::delivery::node::Guards;
-use cicadashift_spec::{Explored, Size, counterexample, explore};
+use cicadashift_spec::{Bounds, Exploration, counterexample, explore};
 
-const SMALL: Size = Size { hosts: 3, versions: 2, crashes: 1, lazy: false };
-const TWO_CRASHES: Size = Size { crashes: 2, ..SMALL };
-const THREE_VERSIONS: Size = Size { versions: 3, ..SMALL };
-const LAZY: Size = Size { lazy: true, ..SMALL };
-const MOST: usize = 2_000_000;
+const SMALL: Bounds = Bounds { hosts: 3, versions: 2, crashes: 1, hold_as_step: false };
+const TWO_CRASHES: Bounds = Bounds { crashes: 2, ..SMALL };
+const THREE_VERSIONS: Bounds = Bounds { versions: 3, ..SMALL };
+const HOLD_AS_STEP: Bounds = Bounds { hold_as_step: true, ..SMALL };
+const MAX_STATES: usize = 2_000_000;
 
-fn holds(size: Size) -> usize {
-    let explored = explore(size, Guards::ALL, MOST);
-    println!("{size:?}: {} states", explored.states);
-    let Explored { whole, broken, .. } = explored;
-    assert_eq!((whole, broken), (true, None));
-    explored.states
+fn holds(bounds: Bounds) -> usize {
+    let exploration = explore(bounds, Guards::ALL, MAX_STATES);
+    println!("{bounds:?}: {} states", exploration.states);
+    let Exploration { complete, violation, .. } = exploration;
+    assert_eq!((complete, violation), (true, None));
+    exploration.states
 }
 
-/// Writes the shortest counterexample, one step a line.
-fn story(size: Size, guards: Guards) -> String {
-    let steps = counterexample(size, guards).expect("the safeguard is needed");
+/// Renders the shortest counterexample, one step per line.
+fn render_counterexample(bounds: Bounds, guards: Guards) -> String {
+    let steps = counterexample(bounds, guards).expect("a violation without the safeguard");
     steps.iter().map(|step| format!("{step:?}\n")).collect()
 }
 
@@ -42,42 +43,42 @@
 }
 
 #[test]
-fn holds_when_holding_takes_time() {
-    insta::assert_debug_snapshot!(holds(LAZY));
+fn holds_when_holding_is_a_separate_step() {
+    insta::assert_debug_snapshot!(holds(HOLD_AS_STEP));
 }
 
 #[test]
-fn without_a_floor_a_restart_goes_back() {
+fn without_a_floor_a_restarted_host_runs_an_older_version() {
     let guards = Guards { floor_before_run: false, ..Guards::ALL };
-    insta::assert_snapshot!(story(SMALL, guards));
+    insta::assert_snapshot!(render_counterexample(SMALL, guards));
 }
 
 #[test]
-fn without_a_majority_nobody_remembers() {
+fn without_a_majority_a_restarted_host_runs_an_older_version() {
     let guards = Guards { majority_before_run: false, ..Guards::ALL };
-    insta::assert_snapshot!(story(LAZY, guards));
+    insta::assert_snapshot!(render_counterexample(HOLD_AS_STEP, guards));
 }
 
 #[test]
-fn a_forgetful_witness_that_speaks_misleads() {
+fn without_silence_while_fresh_a_witness_gives_too_low_a_floor() {
     let guards = Guards { silent_while_fresh: false, ..Guards::ALL };
-    insta::assert_snapshot!(story(TWO_CRASHES, guards));
+    insta::assert_snapshot!(render_counterexample(TWO_CRASHES, guards));
 }
 
 #[test]
-fn a_promise_of_an_earlier_life_misleads() {
+fn without_the_incarnation_check_a_lost_promise_counts() {
     let guards = Guards { check_lives: false, ..Guards::ALL };
-    insta::assert_snapshot!(story(TWO_CRASHES, guards));
+    insta::assert_snapshot!(render_counterexample(TWO_CRASHES, guards));
 }
 
 #[test]
-fn an_answer_to_an_earlier_life_misleads() {
+fn without_matching_answers_an_old_answer_sets_the_floor() {
     let guards = Guards { match_answers: false, ..Guards::ALL };
-    insta::assert_snapshot!(story(TWO_CRASHES, guards));
+    insta::assert_snapshot!(render_counterexample(TWO_CRASHES, guards));
 }
 
 #[test]
-fn a_promise_without_the_objects_helps_nobody() {
+fn without_holding_first_a_witness_promises_missing_objects() {
     let guards = Guards { hold_before_promise: false, ..Guards::ALL };
-    insta::assert_snapshot!(story(LAZY, guards));
+    insta::assert_snapshot!(render_counterexample(HOLD_AS_STEP, guards));
 }
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,5 @@
-//! The pages and the code say the same.
+//! The pages in `docs/` list every setting and metric, and name only tests, scripts and
+//! measurements that exist.
 
 use cicadashift::settings::Settings;
 use std::path::{Path, PathBuf};
@@ -11,7 +12,7 @@
     std::fs::read_to_string(path).unwrap_or_default()
 }
 
-/// Every source file of the workspace.
+/// Collects the Rust source files below a directory.
 fn sources(dir: &Path, out: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(dir).into_iter().flatten().flatten() {
         let path = entry.path();
@@ -38,14 +39,15 @@
         "host": "h", "failure_domain": "d", "callers": "127.0.0.1:1", "upstreams": "127.0.0.1:2",
         "mesh": "127.0.0.1:3", "platform": [], "witnesses": ["h"], "mesh_key": "k"
     });
-    let settings: Settings = serde_json::from_value(example).expect("the required fields");
-    let all = serde_json::to_value(settings).expect("settings are plain data");
+    let settings: Settings =
+        serde_json::from_value(example).expect("settings from the required fields");
+    let all = serde_json::to_value(settings).expect("settings serialize to JSON");
     let mut missing = Vec::new();
-    for (name, value) in all.as_object().expect("an object") {
-        let below = value
+    for (name, value) in all.as_object().expect("settings are a JSON object") {
+        let nested = value
             .as_object()
             .filter(|_| ["limits", "log", "retries", "rollouts"].contains(&name.as_str()));
-        let names: Vec<String> = match below {
+        let names: Vec<String> = match nested {
             Some(fields) => fields.keys().map(|field| format!("{name}.{field}")).collect(),
             None => vec![name.clone()],
         };
