--- a/src/daemon/request/story.rs
+++ b/src/daemon/request/story.rs
@@ -141,7 +141,7 @@
         age_ms: now.saturating_duration_since(call.first_arrival).as_millis() as u64,
         rank: call.priority.0,
     };
-    crate::logging::ordinary(attempt == 1, &line);
+    crate::logging::rate_limited_decision(attempt == 1, &line);
 }
 
 /// Logs how an attempt ended that brought no answer to pass on, and what follows.
