--- a/crates/measure/src/converge.rs
+++ b/crates/measure/src/converge.rs
@@ -1,7 +1,7 @@
-//! `converge`: how long until every selected proxy runs what was accepted, and
-//! what that costs.
+//! `converge`: the time until every selected proxy runs an accepted configuration, and
+//! the bytes and platform calls that it costs.
 
-use crate::baseline::Plain;
+use crate::baseline::BaselineFleet;
 use crate::stats::{Times, round};
 use crate::{Options, Outcome};
 use cicadashift::clock::{Clock, SystemClock};
@@ -15,14 +15,14 @@
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 /// Configurations, one for each group of proxies.
 const GROUPS: usize = 10;
-/// Routes of each; about six kilobytes of text.
+/// Routes of each configuration, which make about six kilobytes of text.
 const ROUTES: usize = 60;
 /// How long a fault lasts.
-const FAULT_TIME: Duration = Duration::from_secs(4);
-/// How long the idle rates are measured, to be taken off.
-const IDLE_TIME: Duration = Duration::from_secs(4);
+const FAULT_DURATION: Duration = Duration::from_secs(4);
+/// How long the idle traffic is measured; it is subtracted from the costs of the changes.
+const IDLE_DURATION: Duration = Duration::from_secs(4);
 
-/// What is counted before and after.
+/// Counters of the fleet and the platform, read before and after a phase.
 #[derive(Clone, Copy, Debug)]
 struct Counters {
     bytes: u64,
@@ -30,41 +30,42 @@
     at_ms: u64,
 }
 
+/// Runs the experiment.
 pub async fn run(options: &Options) -> Outcome {
     let daemons = options.daemons.unwrap_or(60);
     let mut mesh = start(options, daemons).await;
     smol::Timer::after(Duration::from_secs(1)).await;
     let before = counters(&mesh).await;
-    smol::Timer::after(IDLE_TIME).await;
+    smol::Timer::after(IDLE_DURATION).await;
     let idle = counters(&mesh).await.since(before);
 
     let mut times = Times::default();
     let (mut partial, mut late) = (0, 0);
-    let begun = counters(&mesh).await;
+    let before_changes = counters(&mesh).await;
     let changes = if options.fault == "none" { options.changes } else { options.changes.min(3) };
     for n in 0..changes {
-        let round = change(&mut mesh, options, n).await;
-        eprintln!("change {}: {} ms at the most", n + 1, round.worst);
-        times.append(round.times);
-        partial += round.partial;
-        late += round.late;
+        let result = measure_change(&mut mesh, options, n).await;
+        eprintln!("change {}: {} ms at the most", n + 1, result.max_ms);
+        times.append(result.times);
+        partial += result.partial;
+        late += result.late;
     }
-    let cost = counters(&mesh).await.since(begun);
-    let per_change = cost.without(idle).per(changes as f64);
-    let plain = compare(&mut mesh, changes, daemons).await;
+    let cost = counters(&mesh).await.since(before_changes);
+    let per_change = cost.minus_idle(idle).divided_by(changes as f64);
+    let baseline = measure_baseline(&mut mesh, changes, daemons).await;
     let reverted = mesh.fleet.reverted();
-    let mut broken = Vec::new();
+    let mut broken_promises = Vec::new();
     if reverted > 0 {
-        broken.push("no proxy goes back to an older version");
+        broken_promises.push("no proxy goes back to an older version");
     }
     if partial > 0 {
-        broken.push("a version is applied whole or not at all");
+        broken_promises.push("a version is applied whole or not at all");
     }
     if late > 0 {
-        broken.push("an accepted configuration is in force everywhere within seconds");
+        broken_promises.push("an accepted configuration is in force everywhere within seconds");
     }
-    // Each byte between daemons is counted by its sender and its receiver, those
-    // from the platform once; the plain design counts what is received.
+    // Sender and receiver both count a byte between daemons; only the receiver counts a
+    // byte from the platform. The baseline counts received bytes only.
     let bytes = per_change.0 / daemons as f64 / 2.0;
     let summary = json!({
         "compared_with": "each daemon watching the platform itself and getting every changed object",
@@ -79,43 +80,43 @@
         "reverted": reverted,
         "partial": partial,
         "late": late,
-        "baseline_p50_ms": plain.times.p50(),
-        "baseline_p99_ms": plain.times.p99(),
-        "baseline_max_ms": plain.times.max(),
-        "baseline_bytes_per_change_per_daemon": round(plain.bytes),
-        "baseline_platform_calls_per_change": round(plain.calls),
-        "bytes_saved_factor": round(plain.bytes / bytes.max(1.0)),
+        "baseline_p50_ms": baseline.times.p50(),
+        "baseline_p99_ms": baseline.times.p99(),
+        "baseline_max_ms": baseline.times.max(),
+        "baseline_bytes_per_change_per_daemon": round(baseline.bytes),
+        "baseline_platform_calls_per_change": round(baseline.calls),
+        "bytes_saved_factor": round(baseline.bytes / bytes.max(1.0)),
     });
-    Outcome { summary, broken }
+    Outcome { summary, broken_promises }
 }
 
-/// What the plain design costs for the same changes.
-struct Comparison {
+/// Times and costs of the same changes in the baseline fleet.
+struct BaselineCosts {
     times: Times,
     bytes: f64,
     calls: f64,
 }
 
-/// Puts the same changes to a plain fleet on the same platform.
-async fn compare(mesh: &mut Mesh, changes: usize, daemons: usize) -> Comparison {
-    let plain = Plain::start(daemons, mesh.platform.addr);
-    // The first change makes it fetch everything once, outside the figures.
+/// Accepts the same number of changes with a baseline fleet on the same platform.
+async fn measure_baseline(mesh: &mut Mesh, changes: usize, daemons: usize) -> BaselineCosts {
+    let baseline = BaselineFleet::start(daemons, mesh.platform.addr);
+    // The first change makes the baseline fetch all objects; this fetch is not measured.
     smol::Timer::after(Duration::from_secs(1)).await;
     let mut times = Times::default();
     let first = accept(mesh, &config(0, usize::MAX)).await;
-    plain.wait(first, 0, &mut Times::default()).await;
-    let (bytes, calls) = (plain.bytes(), mesh.platform.counts().calls());
+    baseline.wait(first, 0, &mut Times::default()).await;
+    let (bytes, calls) = (baseline.bytes(), mesh.platform.counts().calls());
     for n in 0..changes {
-        let began = SystemClock::new().wall_ms();
+        let start_ms = SystemClock::new().wall_ms();
         let version = accept(mesh, &config(n % GROUPS, 1_000_000 + n)).await;
-        plain.wait(version, began, &mut times).await;
+        baseline.wait(version, start_ms, &mut times).await;
     }
-    let per = 1.0 / changes as f64;
+    let per_change = 1.0 / changes as f64;
     let calls = mesh.platform.counts().calls() - calls;
-    Comparison {
+    BaselineCosts {
         times,
-        bytes: (plain.bytes() - bytes) as f64 * per / daemons as f64,
-        calls: calls as f64 * per,
+        bytes: (baseline.bytes() - bytes) as f64 * per_change / daemons as f64,
+        calls: calls as f64 * per_change,
     }
 }
 
@@ -144,7 +145,7 @@
     mesh
 }
 
-/// Returns the text of a group's configuration; `n` makes it a new one.
+/// Returns the text of a group's configuration; each `n` gives another text.
 pub fn config(group: usize, n: usize) -> String {
     let routes: Vec<Value> = (0..ROUTES)
         .map(|i| {
@@ -159,88 +160,89 @@
         .to_string()
 }
 
-/// What one change brought.
-struct Round {
+/// Results of one change.
+struct ChangeResult {
     times: Times,
-    worst: f64,
+    max_ms: f64,
     partial: usize,
     late: usize,
 }
 
-/// Accepts one change under the fault, and measures from the acceptance or, if
-/// that is later, from the end of the fault.
-async fn change(mesh: &mut Mesh, options: &Options, n: usize) -> Round {
+/// Accepts one change under the fault. Times are measured from just before the change is
+/// accepted, or from the end of the fault if there is one.
+async fn measure_change(mesh: &mut Mesh, options: &Options, n: usize) -> ChangeResult {
     let group = n % GROUPS;
     let text = config(group, n + 1);
     let (version, from_ms) = match options.fault.as_str() {
         "platform-outage" => {
             mesh.platform.fault(|faults| faults.outage = true);
-            smol::Timer::after(FAULT_TIME).await;
+            smol::Timer::after(FAULT_DURATION).await;
             mesh.platform.fault(|faults| faults.outage = false);
             (accept(mesh, &text).await, SystemClock::new().wall_ms())
         }
         "partition" => {
-            let cut = DOMAINS[n % DOMAINS.len()];
+            let isolated = DOMAINS[n % DOMAINS.len()];
             mesh.fleet.cut(true);
-            mesh.fleet.cut_platform(cut, true);
-            smol::Timer::after(FAULT_TIME / 2).await;
+            mesh.fleet.cut_platform(isolated, true);
+            smol::Timer::after(FAULT_DURATION / 2).await;
             let version = accept(mesh, &text).await;
-            smol::Timer::after(FAULT_TIME / 2).await;
+            smol::Timer::after(FAULT_DURATION / 2).await;
             mesh.fleet.cut(false);
-            mesh.fleet.cut_platform(cut, false);
+            mesh.fleet.cut_platform(isolated, false);
             (version, SystemClock::new().wall_ms())
         }
         "herd" => {
-            let herd: Vec<usize> = mesh.all().into_iter().filter(|i| (i + n) % 3 != 0).collect();
-            herd.iter().for_each(|i| mesh.fleet.kill(*i));
+            let killed: Vec<usize> = mesh.all().into_iter().filter(|i| (i + n) % 3 != 0).collect();
+            killed.iter().for_each(|i| mesh.fleet.kill(*i));
             let version = accept(mesh, &text).await;
-            smol::Timer::after(FAULT_TIME / 4).await;
-            herd.iter().for_each(|i| mesh.fleet.restart(*i));
+            smol::Timer::after(FAULT_DURATION / 4).await;
+            killed.iter().for_each(|i| mesh.fleet.restart(*i));
             (version, SystemClock::new().wall_ms())
         }
         "freeze" => {
             let frozen: Vec<usize> = mesh.all().into_iter().filter(|i| (i + n) % 5 == 0).collect();
             frozen.iter().for_each(|i| mesh.fleet.freeze(*i, true));
-            smol::Timer::after(FAULT_TIME / 2).await;
+            smol::Timer::after(FAULT_DURATION / 2).await;
             let version = accept(mesh, &text).await;
-            smol::Timer::after(FAULT_TIME / 2).await;
+            smol::Timer::after(FAULT_DURATION / 2).await;
             frozen.iter().for_each(|i| mesh.fleet.freeze(*i, false));
             (version, SystemClock::new().wall_ms())
         }
         _ => {
-            let began = SystemClock::new().wall_ms();
-            (accept(mesh, &text).await, began)
+            let start_ms = SystemClock::new().wall_ms();
+            (accept(mesh, &text).await, start_ms)
         }
     };
-    let reached = mesh.fleet.wait_running(&mesh.all(), version, PATIENCE).await;
-    let mut round = Round {
+    let converged = mesh.fleet.wait_running(&mesh.all(), version, PATIENCE).await;
+    let mut result = ChangeResult {
         times: Times::default(),
-        worst: 0.0,
+        max_ms: 0.0,
         partial: 0,
-        late: usize::from(reached.is_none()),
+        late: usize::from(converged.is_none()),
     };
     for i in mesh.all() {
         let Some(status) = mesh.fleet.status(i).await else { continue };
         let since = status["running_since_ms"].as_u64().unwrap_or(0);
         if status["running"] == version {
-            round.times.add_ms(since.saturating_sub(from_ms) as f64);
+            result.times.add_ms(since.saturating_sub(from_ms) as f64);
         }
-        round.partial += usize::from(!is_whole(&mesh.fleet, i, &status));
+        result.partial += usize::from(!runs_own_config(&mesh.fleet, i, &status));
     }
-    round.worst = round.times.max();
-    round
+    result.max_ms = result.times.max();
+    result
 }
 
 async fn accept(mesh: &Mesh, text: &str) -> u64 {
     mesh.accept(text).await.expect("the configuration is accepted")
 }
 
-/// Returns whether a proxy runs exactly the configuration of its group.
-fn is_whole(fleet: &Fleet, i: usize, status: &Value) -> bool {
+/// Returns whether a proxy runs the configuration of its group and no other.
+fn runs_own_config(fleet: &Fleet, i: usize, status: &Value) -> bool {
     let expected = fleet.nodes[i].group.replace('g', "c");
     status["selected"] == json!([expected])
 }
 
+/// Reads the counters of all daemons and of the platform.
 async fn counters(mesh: &Mesh) -> Counters {
     let mut bytes = 0;
     for i in mesh.all() {
@@ -251,6 +253,7 @@
 }
 
 impl Counters {
+    /// Returns the differences from `before`.
     fn since(self, before: Counters) -> Counters {
         Counters {
             bytes: self.bytes.saturating_sub(before.bytes),
@@ -259,8 +262,8 @@
         }
     }
 
-    /// Takes off what an idle fleet would have cost in the same time.
-    fn without(self, idle: Counters) -> (f64, f64) {
+    /// Returns the bytes and calls, less those of an idle fleet in the same time.
+    fn minus_idle(self, idle: Counters) -> (f64, f64) {
         let share = self.at_ms as f64 / (idle.at_ms as f64).max(1.0);
         (
             self.bytes as f64 - idle.bytes as f64 * share,
@@ -269,12 +272,13 @@
     }
 }
 
-trait Per {
-    fn per(self, n: f64) -> Self;
+/// Divides totals by a number of changes.
+trait DivideBy {
+    fn divided_by(self, n: f64) -> Self;
 }
 
-impl Per for (f64, f64) {
-    fn per(self, n: f64) -> (f64, f64) {
+impl DivideBy for (f64, f64) {
+    fn divided_by(self, n: f64) -> (f64, f64) {
         (self.0.max(0.0) / n, self.1.max(0.0) / n)
     }
 }
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -1,10 +1,11 @@
-//! The experiments: what cicadashift does, in figures, beside what it is
-//! compared with, in the same run.
+//! Experiments that measure cicadashift and, in the same run, the baselines that it is
+//! compared with.
 //!
-//! Each experiment starts the stand-ins and the built binary as real processes
-//! on loopback, prints progress on standard error and JSON on standard output,
-//! one object a line, the last with `"summary": true`. The program exits 1 when
-//! a promise of the brief was broken during the run and 2 when it could not run.
+//! Each experiment but `load` starts the built binary as processes on loopback, with the
+//! platform, upstreams and callers simulated in this program. Progress goes to standard
+//! error, JSON to standard output: one object a line, the last with `"summary": true`.
+//! The exit status is 1 if a promise of the brief was broken during the run and 2 if the
+//! experiment could not run.
 //! `docs/MEASUREMENTS.md` has the recorded runs.
 
 mod baseline;
@@ -21,25 +22,25 @@
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// Threads of this program; it plays the platform, upstreams and callers.
+/// Threads of this program, which simulates the platform, upstreams and callers.
 const THREADS: usize = 4;
-/// Seeds of the model that are played if none are asked for.
+/// Number of seeds that `load` runs without `--seeds`.
 const SEEDS: u64 = 20;
 
 xflags::xflags! {
     /// Measures cicadashift: path, converge, footprint, policy, storm, or load FILE.
     cmd cicadashift-measure {
-        /// Which experiment.
+        /// The experiment to run.
         required experiment: String
-        /// load: the deployment.
+        /// load: the deployment file.
         optional file: PathBuf
-        /// load: seeds to play.
+        /// load: number of seeds to run.
         optional --seeds n: u64
-        /// load: where to draw the share earned by second.
+        /// load: SVG file to write, with the share earned in each second.
         optional --svg path: PathBuf
         /// Daemons to start.
         optional --daemons n: usize
-        /// Seed of what is random here.
+        /// Seed of this program's random choices.
         optional --seed s: u64
         /// How long a phase lasts.
         optional --seconds t: u64
@@ -47,19 +48,19 @@
         optional --fault fault: String
         /// path: calls a second.
         optional --rate n: u64
-        /// path: without a log line for each decision.
+        /// path: the daemons do not log their decisions.
         optional --quiet
         /// policy: offered load as a share of capacity, in percent.
         optional --load percent: u64
-        /// policy, load: a decision to switch off, load several with commas; policy runs no
-        /// baselines then.
+        /// policy, load: the decision to switch off; load takes several, separated by commas;
+        /// policy runs no baselines then.
         optional --without decision: String
         /// converge: changes to accept.
         optional --changes n: usize
     }
 }
 
-/// What an experiment needs to know.
+/// Options of an experiment.
 pub struct Options {
     /// The release binary.
     pub program: PathBuf,
@@ -75,24 +76,24 @@
     pub load: u64,
     /// Changes to accept.
     pub changes: usize,
-    /// No log line for each decision.
+    /// Whether the daemons do not log their decisions.
     pub quiet: bool,
-    /// A decision of the choice of upstreams to switch off.
+    /// The decision of the daemons' choice of upstreams to switch off.
     pub without: Option<String>,
 }
 
-/// An experiment's end.
+/// Result of an experiment.
 pub struct Outcome {
     /// The fields of the summary.
     pub summary: Value,
     /// Promises of the brief that were broken.
-    pub broken: Vec<&'static str>,
+    pub broken_promises: Vec<&'static str>,
 }
 
-/// Plays the model, which needs no processes.
-fn model(flags: CicadashiftMeasure) {
+/// Runs the `load` model, which starts no processes.
+fn run_load_model(flags: CicadashiftMeasure) {
     let Some(file) = flags.file else {
-        eprintln!("load needs a deployment; see testdata/load");
+        eprintln!("load needs a deployment file; see testdata/load");
         std::process::exit(2);
     };
     let seeds = flags.seeds.unwrap_or(SEEDS);
@@ -112,7 +113,7 @@
 fn main() {
     let flags = CicadashiftMeasure::from_env_or_exit();
     if flags.experiment == "load" {
-        return model(flags);
+        return run_load_model(flags);
     }
     fastrand::seed(flags.seed.unwrap_or(1));
     let program =
@@ -143,14 +144,14 @@
         }
     });
     let Some(mut outcome) = outcome else {
-        eprintln!("no experiment {:?}; see --help", flags.experiment);
+        eprintln!("unknown experiment {:?}; see --help", flags.experiment);
         std::process::exit(2);
     };
     outcome.summary["experiment"] = flags.experiment.into();
     outcome.summary["summary"] = true.into();
     println!("{}", outcome.summary);
-    if !outcome.broken.is_empty() {
-        eprintln!("promises broken: {}", outcome.broken.join(", "));
+    if !outcome.broken_promises.is_empty() {
+        eprintln!("promises broken: {}", outcome.broken_promises.join(", "));
         std::process::exit(1);
     }
 }
--- a/crates/measure/src/path.rs
+++ b/crates/measure/src/path.rs
@@ -1,4 +1,4 @@
-//! `path`: what two daemons add to a call.
+//! `path`: the latency and processor time that two daemons add to a call.
 
 use crate::stats::{Times, round};
 use crate::{Options, Outcome, process};
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Turns in which the two ways alternate, so that a change of the machine's
-/// speed meets both.
+/// Number of times that direct calls and calls through the mesh alternate, so that a
+/// change in the speed of the machine affects both.
 const TURNS: usize = 4;
 
-/// What came of calls at a fixed rate.
+/// Results of calls at a fixed rate.
 #[derive(Default)]
 struct Run {
     times: Times,
@@ -23,93 +23,96 @@
     seconds: f64,
 }
 
+/// Runs the experiment.
 pub async fn run(options: &Options) -> Outcome {
     let daemons = options.daemons.unwrap_or(3);
     let mut spec = Spec::small(options.program.clone(), &["a"], daemons);
     spec.decisions = !options.quiet;
     let mesh = Mesh::serving(spec).await;
-    let direct: Vec<_> = mesh.upstreams.iter().map(|up| Arc::new(Caller::new(up.addr))).collect();
-    let through: Vec<_> =
+    let direct_callers: Vec<_> =
+        mesh.upstreams.iter().map(|up| Arc::new(Caller::new(up.addr))).collect();
+    let mesh_callers: Vec<_> =
         mesh.fleet.nodes.iter().map(|node| Arc::new(Caller::new(node.callers))).collect();
-    // Connections and pages warm up outside the figures.
-    at_rate(&direct, options.rate, 1, "warm-d").await;
-    at_rate(&through, options.rate, 1, "warm-t").await;
-    let (mut plain, mut added) = (Run::default(), Run::default());
+    // Opens connections and touches memory pages, so that neither cost enters the figures.
+    call_at_rate(&direct_callers, options.rate, 1, "warm-d").await;
+    call_at_rate(&mesh_callers, options.rate, 1, "warm-t").await;
+    let (mut direct_run, mut mesh_run) = (Run::default(), Run::default());
     let mut cpu_seconds = 0.0;
     let turn = (options.seconds / TURNS as u64).max(1);
     for n in 0..TURNS {
         eprintln!("turn {} of {TURNS}", n + 1);
-        plain.join(at_rate(&direct, options.rate, turn, &format!("d{n}")).await);
-        let before = cpu(&mesh);
-        added.join(at_rate(&through, options.rate, turn, &format!("t{n}")).await);
-        cpu_seconds += cpu(&mesh) - before;
+        direct_run.merge(call_at_rate(&direct_callers, options.rate, turn, &format!("d{n}")).await);
+        let before = daemon_cpu_seconds(&mesh);
+        mesh_run.merge(call_at_rate(&mesh_callers, options.rate, turn, &format!("t{n}")).await);
+        cpu_seconds += daemon_cpu_seconds(&mesh) - before;
     }
     let doubled = mesh.ledger.doubled();
-    let lost = plain.lost + added.lost;
-    let mut broken = Vec::new();
-    if added.lost > 0 {
-        broken.push("a caller gets the whole answer to its own request");
+    let lost = direct_run.lost + mesh_run.lost;
+    let mut broken_promises = Vec::new();
+    if mesh_run.lost > 0 {
+        broken_promises.push("a caller gets the whole answer to its own request");
     }
     if doubled > 0 {
-        broken.push("a request that may not be repeated runs at most once");
+        broken_promises.push("a request that may not be repeated runs at most once");
     }
     let summary = json!({
         "compared_with": "the same calls made straight to the upstreams, in turns",
         "daemons": daemons,
         "rate": options.rate,
         "decisions_logged": !options.quiet,
-        "calls": added.times.len(),
-        "direct_p50_ms": plain.times.p50(),
-        "direct_p99_ms": plain.times.p99(),
-        "through_p50_ms": added.times.p50(),
-        "through_p99_ms": added.times.p99(),
-        "added_p50_ms": round(added.times.p50() - plain.times.p50()),
-        "added_p99_ms": round(added.times.p99() - plain.times.p99()),
-        "calls_per_s": round(added.answered as f64 / added.seconds),
-        "cpu_us_per_call": round(cpu_seconds * 1e6 / added.times.len().max(1) as f64),
+        "calls": mesh_run.times.len(),
+        "direct_p50_ms": direct_run.times.p50(),
+        "direct_p99_ms": direct_run.times.p99(),
+        "through_p50_ms": mesh_run.times.p50(),
+        "through_p99_ms": mesh_run.times.p99(),
+        "added_p50_ms": round(mesh_run.times.p50() - direct_run.times.p50()),
+        "added_p99_ms": round(mesh_run.times.p99() - direct_run.times.p99()),
+        "calls_per_s": round(mesh_run.answered as f64 / mesh_run.seconds),
+        "cpu_us_per_call": round(cpu_seconds * 1e6 / mesh_run.times.len().max(1) as f64),
         "lost": lost,
         "doubled": doubled,
     });
-    Outcome { summary, broken }
+    Outcome { summary, broken_promises }
 }
 
 /// Returns the processor time of all daemons so far, in seconds.
-fn cpu(mesh: &Mesh) -> f64 {
+fn daemon_cpu_seconds(mesh: &Mesh) -> f64 {
     let pids = mesh.all().into_iter().filter_map(|i| mesh.fleet.pid(i));
     pids.map(process::cpu_seconds).sum()
 }
 
-/// Calls at a fixed rate whether or not earlier calls have come back, and
-/// counts each from the moment it was due.
-async fn at_rate(callers: &[Arc<Caller>], rate: u64, seconds: u64, name: &str) -> Run {
+/// Sends calls at a fixed rate whether or not earlier calls have been answered. The time
+/// of a call runs from the start of its task.
+async fn call_at_rate(callers: &[Arc<Caller>], rate: u64, seconds: u64, name: &str) -> Run {
     let started = Instant::now();
-    let gap = Duration::from_secs(1) / rate as u32;
+    let interval = Duration::from_secs(1) / rate as u32;
     let mut tasks = Vec::new();
     for n in 0..rate * seconds {
-        let due = started + gap * n as u32;
+        let due = started + interval * n as u32;
         smol::Timer::at(due).await;
         let caller = callers[n as usize % callers.len()].clone();
         let id = format!("{name}-{n}");
         tasks.push(exec::spawn(async move {
             let sent = Instant::now();
             let call = caller.call("POST", "/notices", &id, b"x").await;
-            let whole = matches!(&call.got, Got::Answer { request, .. } if *request == id);
-            (whole, sent.elapsed())
+            let complete = matches!(&call.got, Got::Answer { request, .. } if *request == id);
+            (complete, sent.elapsed())
         }));
     }
     let mut run = Run::default();
     for task in tasks {
-        let (whole, took) = task.await;
+        let (complete, took) = task.await;
         run.times.add(took);
-        run.answered += usize::from(whole);
-        run.lost += usize::from(!whole);
+        run.answered += usize::from(complete);
+        run.lost += usize::from(!complete);
     }
     run.seconds = started.elapsed().as_secs_f64();
     run
 }
 
 impl Run {
-    fn join(&mut self, other: Run) {
+    /// Adds the results of `other`.
+    fn merge(&mut self, other: Run) {
         self.times.append(other.times);
         self.lost += other.lost;
         self.answered += other.answered;
--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -1,9 +1,9 @@
-//! `policy`: a trace of mixed calls against upstreams that misbehave, through
-//! the daemons and, for comparison, by random and round-robin choice.
+//! `policy`: a trace of mixed calls to misbehaving upstreams, sent through the daemons
+//! and, as baselines, to upstreams picked at random and in round-robin order.
 //!
-//! The baselines send straight to the announced upstreams with the same
-//! deadline and stop using one when it has left. They have neither the cost of
-//! two daemons nor their knowledge.
+//! The baselines send straight to the upstreams, count answers against the same deadline
+//! and stop using an upstream when it starts to drain. They have neither the cost of two
+//! daemons nor the load and health data that daemons have.
 
 use crate::stats::{Times, round};
 use crate::{Options, Outcome};
@@ -19,32 +19,32 @@
 use std::time::{Duration, Instant};
 
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
-/// Time of a call at an ordinary upstream.
-const WORK: Duration = Duration::from_millis(50);
-/// How much longer it takes at the slow one.
-const SLOWER: u32 = 5;
-/// How long, and how much slower, the cold ones are.
-const COLD: (Duration, f64) = (Duration::from_secs(4), 4.0);
+/// Service time of a call at an ordinary upstream.
+const SERVICE_TIME: Duration = Duration::from_millis(50);
+/// Factor on the service time at the slow upstream.
+const SLOWDOWN: u32 = 5;
+/// Duration of a cold start, and the factor on the service time during it.
+const COLD_START: (Duration, f64) = (Duration::from_secs(4), 4.0);
 const SLOTS: u16 = 10;
 const DEADLINE_MS: u64 = 1000;
-/// When, as a share of the run, one upstream drains and another is killed.
+/// When one upstream drains and another is killed, as shares of the run.
 const DRAIN_AT: f64 = 0.4;
 const KILL_AT: f64 = 0.6;
-/// What may begin at an upstream this long after it said that it drains.
+/// Longest time after the start of a drain in which the upstream may get new calls.
 const DRAIN_LIMIT_S: f64 = 2.0;
 
 const CONFIG: &str = r#"{"id": "notices", "labels": {"app": "notices"},
   "routes": [{"prefix": "/notices", "service": "notice", "deadline_ms": 1000}]}"#;
 
-/// Who chooses the upstream.
+/// How the upstream of a call is picked; `Mesh` leaves it to the daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Picker {
     Mesh,
     Random,
     RoundRobin,
 }
 
-/// What came of a trace.
+/// Results of the calls of a trace.
 #[derive(Default)]
 struct Tally {
     times: Times,
@@ -52,34 +52,38 @@
     in_time: usize,
     refused: usize,
     unknown: usize,
+    /// Answered after the deadline.
     late: usize,
+    /// Without an answer to the call itself, a refusal as not run or an unknown outcome.
     lost: usize,
     ran_after_refusal: usize,
     by_upstream: BTreeMap<String, Times>,
 }
 
+/// Results of one trace, with the checks on the upstreams.
 struct Run {
     tally: Tally,
     doubled: usize,
     new_work_after_drain_s: f64,
-    served_possible: f64,
+    max_served: f64,
 }
 
+/// Runs the experiment.
 pub async fn run(options: &Options) -> Outcome {
     let daemons = options.daemons.unwrap_or(12);
-    let mesh = trace(options, daemons, Way::Mesh).await;
-    let mut broken = Vec::new();
+    let mesh = run_trace(options, daemons, Picker::Mesh).await;
+    let mut broken_promises = Vec::new();
     if mesh.tally.lost > 0 {
-        broken.push("a caller gets the whole answer to its own request");
+        broken_promises.push("a caller gets the whole answer to its own request");
     }
     if mesh.doubled > 0 {
-        broken.push("a request that may not be repeated runs at most once");
+        broken_promises.push("a request that may not be repeated runs at most once");
     }
     if mesh.tally.ran_after_refusal > 0 {
-        broken.push("what is refused as not run did not run");
+        broken_promises.push("what is refused as not run did not run");
     }
     if mesh.new_work_after_drain_s > DRAIN_LIMIT_S {
-        broken.push("an upstream that is leaving gets no new work after a few seconds");
+        broken_promises.push("an upstream that is leaving gets no new work after a few seconds");
     }
     let mut summary = json!({
         "compared_with": "random and round-robin choice on the same trace, straight to the upstreams",
@@ -88,19 +92,20 @@
         "without": options.without,
         "new_work_after_drain_s": round(mesh.new_work_after_drain_s),
     });
-    put(&mut summary, "", &mesh);
+    add_fields(&mut summary, "", &mesh);
     if options.without.is_none() {
-        let random = trace(options, daemons, Way::Random).await;
-        put(&mut summary, "baseline_random_", &random);
-        let robin = trace(options, daemons, Way::RoundRobin).await;
-        put(&mut summary, "baseline_round_robin_", &robin);
+        let random = run_trace(options, daemons, Picker::Random).await;
+        add_fields(&mut summary, "baseline_random_", &random);
+        let round_robin = run_trace(options, daemons, Picker::RoundRobin).await;
+        add_fields(&mut summary, "baseline_round_robin_", &round_robin);
     }
-    Outcome { summary, broken }
+    Outcome { summary, broken_promises }
 }
 
-fn put(summary: &mut Value, prefix: &str, run: &Run) {
+/// Adds the fields of a run to the summary, each key with `prefix`.
+fn add_fields(summary: &mut Value, prefix: &str, run: &Run) {
     let tally = &run.tally;
-    let possible = run.served_possible.min(tally.offered as f64);
+    let possible = run.max_served.min(tally.offered as f64);
     let fields = [
         ("offered", json!(tally.offered)),
         ("answered_in_time", json!(tally.in_time)),
@@ -120,8 +125,9 @@
     }
 }
 
-/// Runs the trace one way on a fresh mesh, so that all ways meet the same.
-async fn trace(options: &Options, daemons: usize, way: Way) -> Run {
+/// Runs the trace with one picker on a fresh mesh, so that all pickers have the same
+/// conditions.
+async fn run_trace(options: &Options, daemons: usize, picker: Picker) -> Run {
     let mut spec = Spec::small(options.program.clone(), &DOMAINS, daemons.div_ceil(DOMAINS.len()));
     spec.delay = Duration::from_micros(1500);
     spec.without = options.without.clone();
@@ -133,12 +139,12 @@
     .await;
     mesh.select(EVERYWHERE).await;
     mesh.roll_out(CONFIG).await;
-    eprintln!("{way:?}: the mesh is up");
-    let ups = &mesh.upstreams;
-    let capacity = capacity(ups.len());
+    eprintln!("{picker:?}: the mesh is up");
+    let upstreams = &mesh.upstreams;
+    let capacity = capacity(upstreams.len());
     let rate = capacity * options.load as f64 / 100.0;
     let shared = Arc::new(Mutex::new(Tally::default()));
-    let targets = Arc::new(Targets::new(&mesh, way));
+    let targets = Arc::new(Targets::new(&mesh, picker));
     let seconds = options.seconds as f64;
     let started = Instant::now();
     let (mut drained, mut killed) = (None, false);
@@ -146,18 +152,18 @@
     let total = (rate * seconds) as usize;
     for n in 0..total {
         smol::Timer::at(started + Duration::from_secs_f64(n as f64 / rate)).await;
-        let at = n as f64 / total as f64;
-        if at >= DRAIN_AT && drained.is_none() {
+        let progress = n as f64 / total as f64;
+        if progress >= DRAIN_AT && drained.is_none() {
             drained = Some(Instant::now());
-            let _told = ups[1].drain().await;
-            targets.leave(1);
+            let _drain_result = upstreams[1].drain().await;
+            targets.remove(1);
         }
-        if at >= KILL_AT && !killed {
+        if progress >= KILL_AT && !killed {
             killed = true;
-            ups[2].kill();
+            upstreams[2].kill();
         }
         let (targets, shared) = (targets.clone(), shared.clone());
-        tasks.push(exec::spawn(async move { one(n, &targets, &shared).await }));
+        tasks.push(exec::spawn(async move { send_call(n, &targets, &shared).await }));
     }
     for task in tasks {
         task.await;
@@ -165,24 +171,24 @@
     let mut tally = std::mem::take(&mut *shared.lock().unwrap_or_else(|err| err.into_inner()));
     tally.offered = total;
     let drained = drained.unwrap_or(started);
-    let last = ups[1].last_start().unwrap_or(drained);
-    tell_reasons(&mesh);
+    let last_start = upstreams[1].last_start().unwrap_or(drained);
+    print_reasons(&mesh);
     for (name, times) in &tally.by_upstream {
         let (count, p50, p99) = (times.len(), times.p50(), times.p99());
         eprintln!("{name}: {count} answers, p50 {p50} ms, p99 {p99} ms");
     }
     let ledger = &mesh.ledger;
-    let may_not_repeat = (0..total).filter(|n| is_post(*n));
+    let posts = (0..total).filter(|n| is_post(*n));
     Run {
-        doubled: may_not_repeat.filter(|n| ledger.count(&id(*n)) > 1).count(),
-        new_work_after_drain_s: last.saturating_duration_since(drained).as_secs_f64(),
-        served_possible: possible(ups.len(), seconds),
-        tally: after_refusal(tally, &mesh),
+        doubled: posts.filter(|n| ledger.count(&request_id(*n)) > 1).count(),
+        new_work_after_drain_s: last_start.saturating_duration_since(drained).as_secs_f64(),
+        max_served: max_served_calls(upstreams.len(), seconds),
+        tally: count_ran_after_refusal(tally, &mesh),
     }
 }
 
-/// Says on standard error why the daemons refused calls or left them unknown.
-fn tell_reasons(mesh: &Mesh) {
+/// Prints to standard error why the daemons refused calls or ended them as unknown.
+fn print_reasons(mesh: &Mesh) {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for i in mesh.all() {
         let log = mesh.fleet.log(i);
@@ -195,53 +201,61 @@
     eprintln!("ended without an answer, by reason: {counts:?}");
 }
 
-/// Calls that were refused as not run, by id, are checked against the ledger.
-fn after_refusal(mut tally: Tally, mesh: &Mesh) -> Tally {
-    let refused = std::mem::take(&mut *REFUSED.lock().unwrap_or_else(|err| err.into_inner()));
-    tally.ran_after_refusal = refused.iter().filter(|n| mesh.ledger.count(&id(**n)) > 0).count();
+/// Counts in `tally` the calls that were refused as not run although the ledger has an
+/// execution of them.
+fn count_ran_after_refusal(mut tally: Tally, mesh: &Mesh) -> Tally {
+    let refused = std::mem::take(&mut *REFUSED_CALLS.lock().unwrap_or_else(|err| err.into_inner()));
+    tally.ran_after_refusal =
+        refused.iter().filter(|n| mesh.ledger.count(&request_id(**n)) > 0).count();
     tally
 }
 
-static REFUSED: Mutex<Vec<usize>> = Mutex::new(Vec::new());
+/// Numbers of the calls that were refused as not run.
+static REFUSED_CALLS: Mutex<Vec<usize>> = Mutex::new(Vec::new());
 
-/// Where a trace's calls go.
+/// Targets of a trace's calls: the daemons, or the upstreams for a baseline.
 struct Targets {
-    way: Way,
+    picker: Picker,
     callers: Vec<Caller>,
-    there: Mutex<Vec<usize>>,
+    /// Positions in `callers` that calls may go to.
+    in_use: Mutex<Vec<usize>>,
     next: AtomicUsize,
 }
 
 impl Targets {
-    fn new(mesh: &Mesh, way: Way) -> Targets {
-        let callers: Vec<Caller> = match way {
-            Way::Mesh => mesh.fleet.nodes.iter().map(|node| Caller::new(node.callers)).collect(),
+    fn new(mesh: &Mesh, picker: Picker) -> Targets {
+        let callers: Vec<Caller> = match picker {
+            Picker::Mesh => mesh.fleet.nodes.iter().map(|node| Caller::new(node.callers)).collect(),
             _ => mesh.upstreams.iter().map(|up| Caller::new(up.addr)).collect(),
         };
-        let there = Mutex::new((0..callers.len()).collect());
-        Targets { way, callers, there, next: AtomicUsize::new(0) }
+        let in_use = Mutex::new((0..callers.len()).collect());
+        Targets { picker, callers, in_use, next: AtomicUsize::new(0) }
     }
 
     fn choose(&self) -> &Caller {
-        let there = self.there.lock().unwrap_or_else(|err| err.into_inner());
-        let n = match self.way {
-            Way::Random => fastrand::usize(..there.len()),
-            _ => self.next.fetch_add(1, Ordering::Relaxed) % there.len(),
+        let in_use = self.in_use.lock().unwrap_or_else(|err| err.into_inner());
+        let n = match self.picker {
+            Picker::Random => fastrand::usize(..in_use.len()),
+            _ => self.next.fetch_add(1, Ordering::Relaxed) % in_use.len(),
         };
-        &self.callers[there[n]]
+        &self.callers[in_use[n]]
     }
 
-    /// Stops using an upstream that said it leaves; callers go on to daemons.
-    fn leave(&self, i: usize) {
-        if self.way != Way::Mesh {
-            self.there.lock().unwrap_or_else(|err| err.into_inner()).retain(|there| *there != i);
+    /// Stops using an upstream that drains; daemons are never removed.
+    fn remove(&self, i: usize) {
+        if self.picker != Picker::Mesh {
+            self.in_use
+                .lock()
+                .unwrap_or_else(|err| err.into_inner())
+                .retain(|position| *position != i);
         }
     }
 }
 
-async fn one(n: usize, targets: &Targets, shared: &Mutex<Tally>) {
+/// Sends call `n` and counts its result.
+async fn send_call(n: usize, targets: &Targets, shared: &Mutex<Tally>) {
     let method = if is_post(n) { "POST" } else { "GET" };
-    let id = id(n);
+    let id = request_id(n);
     let call = targets.choose().call(method, "/notices", &id, b"x").await;
     let mut tally = shared.lock().unwrap_or_else(|err| err.into_inner());
     match call.got {
@@ -256,47 +270,49 @@
         }
         Got::NotRun { .. } => {
             tally.refused += 1;
-            REFUSED.lock().unwrap_or_else(|err| err.into_inner()).push(n);
+            REFUSED_CALLS.lock().unwrap_or_else(|err| err.into_inner()).push(n);
         }
         Got::Unknown => tally.unknown += 1,
         _ => tally.lost += 1,
     }
 }
 
-/// The first is slow, the second drains, the third is killed, the fourth lies
-/// about its load and health, the fifth and sixth start cold.
+/// Returns the behaviour of the `n`th upstream: the first is slow, the second drains, the
+/// third is killed, the fourth reports false load and readiness, the fifth and sixth
+/// start cold.
 fn behaviour(n: usize, name: &str) -> Behaviour {
     let mut behaviour = Behaviour::plain("notice", name);
     behaviour.slots = SLOTS;
-    behaviour.work = WORK;
+    behaviour.work = SERVICE_TIME;
     match n {
-        0 => behaviour.work = WORK * SLOWER,
+        0 => behaviour.work = SERVICE_TIME * SLOWDOWN,
         3 => behaviour.lies = true,
-        4 | 5 => behaviour.cold = Some(COLD),
+        4 | 5 => behaviour.cold = Some(COLD_START),
         _ => {}
     }
     behaviour
 }
 
-/// Returns the calls a second that `n` warm upstreams can serve.
+/// Returns the calls a second that `n` warm upstreams can serve, one of them slow.
 fn capacity(n: usize) -> f64 {
-    let each = f64::from(SLOTS) / WORK.as_secs_f64();
-    (n as f64 - 1.0 + 1.0 / f64::from(SLOWER)) * each
+    let per_upstream = f64::from(SLOTS) / SERVICE_TIME.as_secs_f64();
+    (n as f64 - 1.0 + 1.0 / f64::from(SLOWDOWN)) * per_upstream
 }
 
-/// Returns the calls that the upstreams could have served in the run, with the
-/// cold start, the drain and the kill taken off.
-fn possible(n: usize, seconds: f64) -> f64 {
-    let each = f64::from(SLOTS) / WORK.as_secs_f64();
-    let cold = 2.0 * each * COLD.0.as_secs_f64().min(seconds) * (1.0 - 1.0 / COLD.1);
-    let gone = each * seconds * ((1.0 - DRAIN_AT) + (1.0 - KILL_AT));
-    capacity(n) * seconds - cold - gone
+/// Returns the calls that the upstreams could have served in the run, less those lost to
+/// the cold starts, the drain and the kill.
+fn max_served_calls(n: usize, seconds: f64) -> f64 {
+    let per_upstream = f64::from(SLOTS) / SERVICE_TIME.as_secs_f64();
+    let cold =
+        2.0 * per_upstream * COLD_START.0.as_secs_f64().min(seconds) * (1.0 - 1.0 / COLD_START.1);
+    let stopped = per_upstream * seconds * ((1.0 - DRAIN_AT) + (1.0 - KILL_AT));
+    capacity(n) * seconds - cold - stopped
 }
 
 fn is_post(n: usize) -> bool {
     n % 3 == 0
 }
 
-fn id(n: usize) -> String {
+fn request_id(n: usize) -> String {
     format!("call-{n}")
 }
--- a/crates/measure/src/stats.rs
+++ b/crates/measure/src/stats.rs
@@ -1,8 +1,8 @@
-//! Percentiles.
+//! Percentiles of measured times.
 
 use std::time::Duration;
 
-/// Times, to be asked for percentiles.
+/// Measured times, kept in full so that percentiles are exact.
 #[derive(Clone, Debug, Default)]
 pub struct Times {
     ms: Vec<f64>,
@@ -19,12 +19,13 @@
         self.ms.push(ms);
     }
 
-    /// Takes in other times.
+    /// Adds all times of `other`.
     pub fn append(&mut self, other: Times) {
         self.ms.extend(other.ms);
     }
 
-    /// Returns a percentile in milliseconds; zero where there is none.
+    /// Returns the percentile `share` (0 to 1) in milliseconds, or zero if there are no
+    /// times.
     pub fn percentile(&self, share: f64) -> f64 {
         let mut sorted = self.ms.clone();
         sorted.sort_by(f64::total_cmp);
@@ -37,23 +38,23 @@
         self.percentile(0.5)
     }
 
-    /// Returns what 99 in 100 keep to, in milliseconds.
+    /// Returns the 99th percentile in milliseconds.
     pub fn p99(&self) -> f64 {
         self.percentile(0.99)
     }
 
-    /// Returns the longest in milliseconds.
+    /// Returns the longest time in milliseconds.
     pub fn max(&self) -> f64 {
         self.percentile(1.0)
     }
 
-    /// Returns how many there are.
+    /// Returns the number of times.
     pub fn len(&self) -> usize {
         self.ms.len()
     }
 }
 
-/// Rounds to three digits after the point, for reading.
+/// Rounds to three decimal places, which keeps the reports readable.
 pub fn round(x: f64) -> f64 {
     (x * 1e3).round() / 1e3
 }
