--- a/src/daemon/request/attempts/second.rs
+++ b/src/daemon/request/attempts/hedge.rs
@@ -4,11 +4,11 @@
 //! gives no sign of life, a call that may be repeated is also sent to a second upstream.
 //! The first good answer of the two is passed on.
 
-use super::so_far::AttemptHistory;
+use super::history::AttemptHistory;
 use crate::daemon::request::answer::AttemptResult;
+use crate::daemon::request::log_lines::{log_choice, log_failed_attempt};
 use crate::daemon::request::payload::Payload;
 use crate::daemon::request::send::{SendOptions, send};
-use crate::daemon::request::story::{log_choice, log_failed_attempt};
 use crate::daemon::request::work::RoutedCall;
 use crate::daemon::services::Target;
 use crate::daemon::{Daemon, liveness, quarantine};
@@ -34,12 +34,12 @@
         return AttemptResult::NoAnswer(Attempt::Unknown, "body-spent");
     };
     let began = d.clock.now();
-    let patience = match payload.is_available() {
-        true => history.patience(target),
+    let options = match payload.is_available() {
+        true => history.send_options(target),
         // A call that cannot be sent again waits for a slot at this host.
-        false => SendOptions { max_slot_wait: Duration::MAX, ..history.patience(target) },
+        false => SendOptions { max_slot_wait: Duration::MAX, ..history.send_options(target) },
     };
-    let mut first = Box::pin(send(d, call, target, body, patience));
+    let mut first = Box::pin(send(d, call, target, body, options));
     // A suspected call is not sent to two upstreams at once.
     let is_clear = quarantine::state(d, call.digest) == QuarantineState::Clear;
     let may_hedge = is_clear
--- a/src/daemon/request/attempts/so_far.rs
+++ b/src/daemon/request/attempts/history.rs
@@ -57,8 +57,9 @@
         self.tried.len() as u32 + self.link_refusals
     }
 
-    /// Returns how long the call may wait at the next host.
-    pub fn patience(&self, target: &Target) -> SendOptions {
+    /// Returns the options for the next attempt: how long it may wait at `target`, and whether it
+    /// is a trial.
+    pub fn send_options(&self, target: &Target) -> SendOptions {
         let no_wait = target.has_room && self.full_refusals < MAX_FULL_REFUSALS;
         SendOptions {
             max_link_backlog: if self.link_refusals < MAX_LINK_REFUSALS {
--- a/src/daemon/request/attempts/mod.rs
+++ b/src/daemon/request/attempts/mod.rs
@@ -1,15 +1,15 @@
 //! Chooses an upstream, sends the call to it, and decides whether to retry.
 //!
-//! Upstreams are tried one after the other. [`so_far`] records the outcome of the attempts
-//! so far; [`second`] makes one attempt, with a hedged one beside it if the first is late.
+//! Upstreams are tried one after the other. [`history`] records the outcome of the attempts
+//! so far; [`hedge`] makes one attempt, with a hedged one beside it if the first is late.
 
-mod second;
-mod so_far;
+mod hedge;
+mod history;
 
 use super::answer::AttemptResult;
+use super::log_lines::{log_choice, log_failed_attempt};
 use super::payload::Payload;
 use super::refuse::{refuse, unknown};
-use super::story::{log_choice, log_failed_attempt};
 use super::trial::{self, QuarantineDecision};
 use super::work::RoutedCall;
 use crate::daemon::{Daemon, quarantine};
@@ -18,8 +18,8 @@
 use cicadashift_http::body::Body;
 use cicadashift_http::hyper::Response;
 use cicadashift_wire::call;
-use second::attempt;
-use so_far::AttemptHistory;
+use hedge::attempt;
+use history::AttemptHistory;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -2,9 +2,9 @@
 
 use super::attempts;
 use super::digest::DigestInput;
+use super::log_lines::RefuseLine;
 use super::payload::{MAX_BUFFERED, buffer};
 use super::sender::{self, Sender};
-use super::story::RefuseLine;
 use super::tracked::InFlightGuard;
 use super::work::{RoutedCall, pick_part};
 use super::{headers, paced};
@@ -46,7 +46,7 @@
 
 /// Answers one caller's request.
 pub async fn handle(d: Arc<Daemon>, peer: SocketAddr, req: Request<Body>) -> Response<Body> {
-    let counted = InFlightGuard::new(&d);
+    let in_flight = InFlightGuard::new(&d);
     let now = d.clock.now();
     let started = match req.extensions().get::<PipelineDelay>() {
         Some(PipelineDelay(time)) => {
@@ -68,7 +68,7 @@
         let seconds = MAX_CALLER_IDLE.as_secs();
         headers::set(res.headers_mut(), "keep-alive", &format!("timeout={seconds}"));
     }
-    paced::pace_answer(&d, res).map(|body| body::with_guard(body, counted))
+    paced::pace_answer(&d, res).map(|body| body::with_guard(body, in_flight))
 }
 
 async fn serve(
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -2,9 +2,9 @@
 //! the answer on.
 
 use super::headers;
+use super::log_lines::AdmitLine;
 use super::paced::ExpectedAnswer;
 use super::payload::{Payload, buffer};
-use super::story::AdmitLine;
 use super::tracked::{InFlightGuard, TrackedBody};
 use crate::daemon::gates::ended;
 use crate::daemon::gates::local::{LocalUpstream, SlotPermit};
@@ -86,8 +86,8 @@
         kind,
         max_wait: Duration::from_millis(u64::from(cx.max_slot_wait_ms)),
     };
-    let pass = match local.admit(arrival, &d.clock).await {
-        Ok(pass) => pass,
+    let permit = match local.admit(arrival, &d.clock).await {
+        Ok(permit) => permit,
         Err(refusal) => return refuse(&d, &cx, refusal, arrived, Some(&local)),
     };
     let now = d.clock.now();
@@ -107,7 +107,7 @@
     }
     log_admit(&d, &cx, "run", arrived, Some(&local));
     let expected = ExpectedAnswer::new(&d, kind);
-    let res = forward(d, cx, req, local, pass, deadline).await;
+    let res = forward(d, cx, req, local, permit, deadline).await;
     drop(expected);
     res
 }
@@ -154,25 +154,25 @@
     cx: Context,
     mut req: Request<Body>,
     local: Arc<LocalUpstream>,
-    pass: SlotPermit,
+    permit: SlotPermit,
     deadline: Instant,
 ) -> Response<Body> {
     let started = d.clock.now();
     let left = deadline - started;
     set_upstream_headers(&d, &cx, &local.instance, req.headers_mut(), left);
-    pass.begin(cx.digest);
+    permit.begin(cx.digest);
     let sent = exec::timeout(left, local.pool.send(local.address, req)).await;
     let (res, connection) = match sent {
         Some(Ok(received)) => received,
         Some(Err(err)) if err.is_unsent() => {
             local.record_connect_failure();
             ended::check_after_refused_connection(&d, &local).await;
-            pass.end(End::Failed, d.clock.now());
+            permit.end(End::Failed, d.clock.now());
             return not_run(&d, &cx, "unreached", UNREACHED_RETRY_AFTER, started, &local);
         }
         Some(Err(err)) => {
             let has_ended = ended::check_after_broken_call(&d, &local, cx.digest).await;
-            pass.end(End::Failed, d.clock.now());
+            permit.end(End::Failed, d.clock.now());
             d.rollouts.observe(&local, KindKey(cx.call_kind), None);
             log::warn!("call {}: upstream {}: {err}", cx.request_id, cx.instance);
             let reason = if has_ended { call::UPSTREAM_ENDED } else { "upstream-broke" };
@@ -180,12 +180,12 @@
         }
         None => {
             local.record_timeout(&d);
-            pass.end(End::Failed, d.clock.now());
+            permit.end(End::Failed, d.clock.now());
             d.rollouts.observe(&local, KindKey(cx.call_kind), None);
             return unknown(&d, &cx, StatusCode::GATEWAY_TIMEOUT, "deadline", started, &local);
         }
     };
-    let passed_on = pass_on_answer(&d, &cx, res, connection, &local, pass, started);
+    let passed_on = pass_on_answer(&d, &cx, res, connection, &local, permit, started);
     match exec::timeout(deadline.saturating_duration_since(d.clock.now()), passed_on).await {
         Some(res) => res,
         None => unknown(&d, &cx, StatusCode::GATEWAY_TIMEOUT, "deadline", started, &local),
@@ -226,7 +226,7 @@
     res: Response<Incoming>,
     connection: Connection,
     local: &Arc<LocalUpstream>,
-    pass: SlotPermit,
+    permit: SlotPermit,
     started: Instant,
 ) -> Response<Body> {
     let (mut head, incoming) = res.into_parts();
@@ -234,7 +234,7 @@
     // connection, and a caller would get the answer to another caller's request. An answer
     // without this call's id is not passed on, and its connection is closed.
     if d.dialect.echoes_request_id && !has_request_id(d, cx, &head.headers) {
-        pass.end(End::Failed, d.clock.now());
+        permit.end(End::Failed, d.clock.now());
         d.metrics.incr("upstream.wrong_answer");
         return unknown(d, cx, StatusCode::BAD_GATEWAY, "wrong-answer", started, local);
     }
@@ -242,7 +242,7 @@
         in_band::apply(d, local, Signals::of(d, &head.headers), started);
     }
     if let Some(res) = refusal_of_upstream(d, cx, &head, local) {
-        pass.end(End::Shed, d.clock.now());
+        permit.end(End::Shed, d.clock.now());
         keep_connection(incoming, connection, local);
         return res;
     }
@@ -259,7 +259,7 @@
             let now = d.clock.now();
             let took = now.saturating_duration_since(started);
             d.metrics.time("upstream.time", took);
-            pass.end(if is_complete { End::Answered(took) } else { End::Failed }, now);
+            permit.end(if is_complete { End::Answered(took) } else { End::Failed }, now);
             d.rollouts.observe(&local, kind, (is_complete && !has_failed).then_some(took));
             if is_complete {
                 quarantine::record_answer(&d, digest);
--- a/src/daemon/request/mod.rs
+++ b/src/daemon/request/mod.rs
@@ -11,7 +11,7 @@
 //! The answer returns through [`answer`]; [`paced`] schedules large answers on the host's
 //! link. [`headers`], [`payload`], [`digest`] and [`tracked`] are shared by these stages.
 //! [`work`] holds the state of a routed call, [`refuse`] makes the responses that replace
-//! an answer, and [`story`] writes the log lines about requests.
+//! an answer, and [`log_lines`] writes the log lines about requests.
 
 pub mod answer;
 pub mod attempts;
@@ -19,12 +19,12 @@
 pub mod entry;
 pub mod exit;
 pub mod headers;
+pub mod log_lines;
 pub mod paced;
 pub mod payload;
 pub mod refuse;
 pub mod send;
 pub mod sender;
-pub mod story;
 pub mod tracked;
 pub mod trial;
 pub mod work;
--- a/src/daemon/request/refuse.rs
+++ b/src/daemon/request/refuse.rs
@@ -1,7 +1,7 @@
 //! Responses that the daemon itself makes to routed calls.
 
 use super::work::RoutedCall;
-use super::{headers, story};
+use super::{headers, log_lines};
 use crate::daemon::Daemon;
 use cicadashift_http::body::Body;
 use cicadashift_http::hyper::{Response, StatusCode};
@@ -27,7 +27,7 @@
 
 fn log_end(d: &Daemon, call: &RoutedCall, why: &str, status: StatusCode, retry_after: Duration) {
     let now = d.clock.now();
-    crate::logging::decision(&story::RefuseLine {
+    crate::logging::decision(&log_lines::RefuseLine {
         kind: "refuse",
         request: &call.request_id,
         organisation: &call.organisation,
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -55,22 +55,22 @@
 /// The exit daemon refuses the call if it would have to wait longer than `options` allows.
 pub async fn send(
     d: &Arc<Daemon>,
-    work: &RoutedCall,
+    call: &RoutedCall,
     target: &Target,
     body: Body,
     options: SendOptions,
 ) -> AttemptResult {
     let started = d.clock.now();
-    let demand = work.demand(started);
-    let flight = AttemptGuard::new(d, &work.service, target.choice.key, demand);
-    let left = work.deadline.saturating_duration_since(started);
+    let demand = call.demand(started);
+    let guard = AttemptGuard::new(d, &call.service, target.choice.key, demand);
+    let left = call.deadline.saturating_duration_since(started);
     let Some(to) = d.members.address(target.host) else {
-        flight.end(Outcome::Unreached);
+        guard.end(Outcome::Unreached);
         return AttemptResult::NoAnswer(Attempt::unreached(), "unreached");
     };
     lock(&d.liveness).call_sent(target.host, started);
-    let cx = context(d, work, target, left, options, started);
-    let req = request(work, body);
+    let cx = context(d, call, target, left, options, started);
+    let req = request(call, body);
     let crosses_domains = target.locality == Locality::OtherDomain;
     d.costs.add(Purpose::Call, crosses_domains, HEAD_BYTES + stated_length(req.body()));
     let sent = match target.host == d.me {
@@ -81,21 +81,21 @@
         Some(Ok(res)) => res,
         Some(Err(err)) => {
             let unsent = err.is_unsent();
-            flight.end(if unsent { Outcome::Unreached } else { Outcome::Failed });
-            log::debug!("call {}: exit daemon at {to}: {err}", work.request_id);
+            guard.end(if unsent { Outcome::Unreached } else { Outcome::Failed });
+            log::debug!("call {}: exit daemon at {to}: {err}", call.request_id);
             return match unsent {
                 true => AttemptResult::NoAnswer(Attempt::unreached(), "unreached"),
                 false => AttemptResult::NoAnswer(Attempt::Unknown, "exit-broke"),
             };
         }
         None => {
-            flight.end(Outcome::Failed);
+            guard.end(Outcome::Failed);
             d.mesh_pool.close_idle(to);
             return AttemptResult::NoAnswer(Attempt::Unknown, "deadline");
         }
     };
     liveness::note_received(d, target.host);
-    read_answer(d, work, target, res, flight, started).await
+    read_answer(d, call, target, res, guard, started).await
 }
 
 /// Passes a call to the exit side of this daemon.
@@ -128,10 +128,10 @@
 
 async fn read_answer(
     d: &Arc<Daemon>,
-    work: &RoutedCall,
+    call: &RoutedCall,
     target: &Target,
     res: Response<Body>,
-    flight: AttemptGuard,
+    guard: AttemptGuard,
     started: Instant,
 ) -> AttemptResult {
     let (head, body) = res.into_parts();
@@ -148,15 +148,15 @@
     if let Some(ms) = headers::number(&head.headers, call::LINK_MS) {
         let now = d.clock.now();
         let wait = Duration::from_millis(ms);
-        d.services.with(&work.service, |service| service.picker.record_link_wait(key, wait, now));
+        d.services.with(&call.service, |service| service.picker.record_link_wait(key, wait, now));
     }
     if let Some((attempt, reason)) = answer::refusal(&head) {
         if reason == call::UPSTREAM_ENDED {
             // Suspects the call at once: the exit daemon's own suspicion may arrive only after
             // the next attempt is decided on.
-            quarantine::record_end(d, &target.instance, &[work.digest]);
+            quarantine::record_end(d, &target.instance, &[call.digest]);
         }
-        flight.end(match attempt {
+        guard.end(match attempt {
             Attempt::NotRun { .. } if reason == "unreached" => Outcome::Unreached,
             Attempt::NotRun { .. } if reason == "link-busy" => Outcome::LinkBusy,
             Attempt::NotRun { .. } if reason == "held-back" => Outcome::HeldBack,
@@ -167,26 +167,26 @@
         return AttemptResult::NoAnswer(attempt, reason);
     }
     let service_time = headers::number(&head.headers, call::SERVICE_US).map(Duration::from_micros);
-    let left = work.deadline.saturating_duration_since(d.clock.now()) + ANSWER_MARGIN;
+    let left = call.deadline.saturating_duration_since(d.clock.now()) + ANSWER_MARGIN;
     match exec::timeout(left, answer::read(head, body)).await {
         Some(Ok(answer)) => {
             let total = d.clock.now().saturating_duration_since(started);
             let service = service_time.unwrap_or(total);
-            flight.end(match answer.is_failure() {
+            guard.end(match answer.is_failure() {
                 true => Outcome::ErrorAnswer,
                 false => Outcome::Answered { service, total, report },
             });
-            let kind = KindKey(work.kind);
+            let kind = KindKey(call.kind);
             let large = answer.is_large();
-            d.services.with(&work.service, |service| service.picker.set_large(kind, large));
+            d.services.with(&call.service, |service| service.picker.set_large(kind, large));
             AttemptResult::Answer(answer)
         }
         Some(Err(reason)) => {
-            flight.end(Outcome::Failed);
+            guard.end(Outcome::Failed);
             AttemptResult::NoAnswer(Attempt::Unknown, reason)
         }
         None => {
-            flight.end(Outcome::Failed);
+            guard.end(Outcome::Failed);
             AttemptResult::NoAnswer(Attempt::Unknown, "deadline")
         }
     }
@@ -209,7 +209,7 @@
 
 fn context(
     d: &Daemon,
-    work: &RoutedCall,
+    call: &RoutedCall,
     target: &Target,
     left: Duration,
     options: SendOptions,
@@ -218,31 +218,31 @@
     let named_limit = d.in_band_signals.limit(target.host, &target.instance);
     let ms = |time: Duration| time.as_millis().min(u128::from(u32::MAX)) as u32;
     Context {
-        request_id: work.request_id.clone(),
-        digest: work.digest,
+        request_id: call.request_id.clone(),
+        digest: call.digest,
         instance: target.instance.clone(),
         deadline_ms: ms(left),
-        objective_ms: ms(work.objective.saturating_duration_since(now)),
+        objective_ms: ms(call.objective.saturating_duration_since(now)),
         max_link_backlog_ms: ms(options.max_link_backlog),
         max_slot_wait_ms: ms(options.max_slot_wait),
-        priority: work.priority,
-        caller: work.caller,
-        call_kind: work.kind,
+        priority: call.priority,
+        caller: call.caller,
+        call_kind: call.kind,
         caller_service: d.settings.services.first().cloned().unwrap_or_default(),
-        organisation: work.organisation.clone(),
+        organisation: call.organisation.clone(),
         // The attempts that are left are shared by all calls that the upstream makes for
         // this one, so that retries at nine levels add up instead of multiplying.
-        attempts: work.max_attempts.saturating_sub(1).max(1),
-        version: work.version,
+        attempts: call.max_attempts.saturating_sub(1).max(1),
+        version: call.version,
         is_trial: options.is_trial,
         limit_thousandths: named_limit.map(|limit| limit.thousandths()),
     }
 }
 
-fn request(work: &RoutedCall, body: Body) -> Request<Body> {
+fn request(call: &RoutedCall, body: Body) -> Request<Body> {
     let mut req = Request::new(body);
-    *req.method_mut() = work.head.method.clone();
-    *req.uri_mut() = work.head.uri.clone();
-    *req.headers_mut() = work.head.headers.clone();
+    *req.method_mut() = call.head.method.clone();
+    *req.uri_mut() = call.head.uri.clone();
+    *req.headers_mut() = call.head.headers.clone();
     req
 }
--- a/src/daemon/request/trial.rs
+++ b/src/daemon/request/trial.rs
@@ -63,20 +63,20 @@
 /// `in_doubt_since` is when the call was first found to be in doubt, and is set here.
 pub async fn wait_for_decision(
     d: &Arc<Daemon>,
-    work: &RoutedCall,
+    call: &RoutedCall,
     in_doubt_since: &mut Option<Instant>,
 ) -> QuarantineDecision {
     loop {
         let now = d.clock.now();
-        let is_overdue = in_doubt_since.is_some_and(|since| now >= wait_deadline(work, since));
-        let left = match quarantine::state(d, work.digest) {
+        let is_overdue = in_doubt_since.is_some_and(|since| now >= wait_deadline(call, since));
+        let left = match quarantine::state(d, call.digest) {
             QuarantineState::Quarantined { left } => left,
             QuarantineState::Suspected | QuarantineState::Clear if is_overdue => {
                 return refuse_disputed(d);
             }
             QuarantineState::Suspected | QuarantineState::Clear => return QuarantineDecision::Send,
         };
-        let review = quarantine::review(d, work.digest);
+        let review = quarantine::review(d, call.digest);
         if review == Review::Certain {
             d.metrics.incr("call.quarantined");
             return QuarantineDecision::Refuse { retry_after: left };
@@ -86,7 +86,7 @@
             return refuse_disputed(d);
         }
         if review == Review::Doubtful
-            && let Some(trial) = start_trial(d, work).await
+            && let Some(trial) = start_trial(d, call).await
         {
             return QuarantineDecision::SendAsTrial(trial);
         }
@@ -101,8 +101,8 @@
     smol::Timer::after(POLL_INTERVAL).await;
 }
 
-fn wait_deadline(work: &RoutedCall, since: Instant) -> Instant {
-    work.objective.min(since + MAX_WAIT)
+fn wait_deadline(call: &RoutedCall, since: Instant) -> Instant {
+    call.objective.min(since + MAX_WAIT)
 }
 
 fn refuse_disputed(d: &Daemon) -> QuarantineDecision {
@@ -111,7 +111,7 @@
 }
 
 /// Starts a trial if no daemon holds the trial key and the call is still in doubt.
-async fn start_trial(d: &Arc<Daemon>, work: &RoutedCall) -> Option<Trial> {
+async fn start_trial(d: &Arc<Daemon>, call: &RoutedCall) -> Option<Trial> {
     let mut next_attempt = d.quarantine.trials.next.try_lock()?;
     let now = d.clock.now();
     if next_attempt.is_some_and(|at| now < at) {
@@ -120,7 +120,7 @@
     let trial = match acquire_key(d).await {
         Ok(trial) => trial,
         Err(err) => {
-            log::info!("call {}: cannot acquire the trial key: {err}", work.digest);
+            log::info!("call {}: cannot acquire the trial key: {err}", call.digest);
             None
         }
     };
@@ -131,15 +131,15 @@
     };
     // The previous trial may have decided whether the call is quarantined.
     let is_doubtful = matches!(
-        quarantine::state(d, work.digest),
-        QuarantineState::Quarantined { .. } if quarantine::review(d, work.digest) == Review::Doubtful
+        quarantine::state(d, call.digest),
+        QuarantineState::Quarantined { .. } if quarantine::review(d, call.digest) == Review::Doubtful
     );
     if !is_doubtful {
         return None;
     }
     log::warn!(
         "call {} is tried: other calls share its ended upstreams, or the last one ended long ago",
-        work.digest
+        call.digest
     );
     d.metrics.incr("quarantine.tried");
     Some(trial)
