--- a/crates/core/src/limit/keeper.rs
+++ b/crates/core/src/limit/keeper.rs
@@ -38,12 +38,12 @@
 }
 
 impl QuotaPart {
-    /// Returns the part of a keeper that sees `live` daemons and has lost `lost` others.
+    /// Returns the part of a keeper whose table has `live` daemons and `dead` ones.
     ///
     /// Failure: the mesh is split and each partition has its own keeper. Symptom: an
     /// organisation gets its whole limit in each partition.
-    pub fn of(quota: Quota, live: usize, lost: usize) -> QuotaPart {
-        let part = live as f64 / (live + lost).max(1) as f64;
+    pub fn of(quota: Quota, live: usize, dead: usize) -> QuotaPart {
+        let part = live as f64 / (live + dead).max(1) as f64;
         QuotaPart {
             rate_per_s: quota.rate_per_s as f64 * part,
             burst: quota.burst as f64 * part,
--- a/src/daemon/limits.rs
+++ b/src/daemon/limits.rs
@@ -134,18 +134,18 @@
 struct QuotaParts {
     running: Arc<RunningConfig>,
     live: usize,
-    lost: usize,
+    dead: usize,
 }
 
 impl QuotaParts {
     fn current(d: &Daemon) -> QuotaParts {
-        let (live, lost) = (d.members.live_count(), d.members.dead_count());
-        QuotaParts { running: d.versions.running(), live, lost }
+        let (live, dead) = (d.members.live_count(), d.members.dead_count());
+        QuotaParts { running: d.versions.running(), live, dead }
     }
 
     fn of(&self, key: LimitKey) -> Option<QuotaPart> {
         let quota = self.running.table.organisations.as_ref()?.quota(key)?;
-        Some(QuotaPart::of(quota, self.live, self.lost))
+        Some(QuotaPart::of(quota, self.live, self.dead))
     }
 }
 
--- a/src/daemon/quarantine.rs
+++ b/src/daemon/quarantine.rs
@@ -191,7 +191,7 @@
     loop {
         let result = maintain(&d, &mut last_read).await;
         if let (Err(err), false) = (&result, is_failing) {
-            log::warn!("quarantine: the store is not available: {err}");
+            log::warn!("quarantine: the store is unavailable: {err}");
         }
         is_failing = result.is_err();
         smol::Timer::after(MAINTENANCE_INTERVAL).await;
--- a/src/daemon/readiness.rs
+++ b/src/daemon/readiness.rs
@@ -21,8 +21,9 @@
 /// served.
 pub async fn handle(d: Arc<Daemon>, req: Request<Body>) -> Response<Body> {
     let path = req.uri().path();
-    let hosted = d.platform_adapter.as_ref().is_some_and(|hosted| hosted.is_readiness_path(path));
-    if path != READY_PATH && !hosted {
+    let is_adapter_path =
+        d.platform_adapter.as_ref().is_some_and(|adapter| adapter.is_readiness_path(path));
+    if path != READY_PATH && !is_adapter_path {
         return headers::plain(StatusCode::NOT_FOUND, "no such path\n");
     }
     match not_ready_reason(&d) {
--- a/src/daemon/rollouts/decider.rs
+++ b/src/daemon/rollouts/decider.rs
@@ -458,11 +458,11 @@
 
 /// Writes the status of a rollout for the operator, unless the store holds it already.
 async fn write_status(d: &Daemon, order: &Order, state: RolloutState) -> Result<(), PlatformError> {
-    let Some(hosted) = &d.platform_adapter else { return Ok(()) };
-    let key = hosted.rollout_status_key(&order.service);
+    let Some(adapter) = &d.platform_adapter else { return Ok(()) };
+    let key = adapter.rollout_status_key(&order.service);
     let status =
         RolloutStatus { service: order.service.clone(), target: order.target.clone(), state };
-    let value = hosted.encode_rollout_status(&status);
+    let value = adapter.encode_rollout_status(&status);
     let stored = d.store.get(&key).await?;
     if stored.as_ref().is_some_and(|pair| pair.value == value && pair.revision > order.revision) {
         return Ok(());
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -364,8 +364,8 @@
 
 /// Reads and applies all rollout orders.
 async fn read_orders(d: &Daemon) -> Result<(), PlatformError> {
-    let Some(hosted) = &d.platform_adapter else { return Ok(()) };
-    let pairs = d.store.list(hosted.order_prefix(), false).await?;
+    let Some(adapter) = &d.platform_adapter else { return Ok(()) };
+    let pairs = d.store.list(adapter.order_prefix(), false).await?;
     d.rollouts.replace_orders(d, &pairs);
     Ok(())
 }
--- a/src/daemon/upstreams.rs
+++ b/src/daemon/upstreams.rs
@@ -50,8 +50,8 @@
     let Ok(buf) = body::read(incoming, MAX_BODY_BYTES).await else {
         return headers::plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n");
     };
-    if let Some(hosted) = &d.platform_adapter {
-        match hosted.decode_report(&head.method, head.uri.path(), &buf) {
+    if let Some(adapter) = &d.platform_adapter {
+        match adapter.decode_report(&head.method, head.uri.path(), &buf) {
             Ok(Some(report)) => return apply_report(&d, report),
             Ok(None) => {}
             Err(err) => return reject_report(&d, &err),
