--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -121,12 +121,12 @@
 
 /// Position of a key's last change in the store.
 ///
-/// A store that is restored from a backup assigns the same positions again, and marks
+/// A store that is restored from a copy assigns the same positions again, and marks
 /// this by a higher era. Positions of different eras are not comparable: neither is
 /// later, and a condition on a position of one era proves nothing in another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revision {
-    /// Increases by one each time the store is restored from a backup.
+    /// Increases by one each time the store is restored from a copy.
     pub era: u64,
     /// Increases with each change within one era.
     pub number: i64,
--- a/crates/core/src/request/suspects/mod.rs
+++ b/crates/core/src/request/suspects/mod.rs
@@ -22,9 +22,9 @@
 //!
 //! # Merging
 //!
-//! A suspicion holds the starts of upstreams that ended under the call and the starts of
-//! which it was cleared. Both sets only grow, and merging is their union, so suspicions
-//! may arrive in any order and any number of times.
+//! A suspicion holds the incarnations of upstreams that ended under the call, and those
+//! whose ends no longer count against it (of which it was cleared). Both sets only grow, and
+//! merging is their union, so suspicions may arrive in any order and any number of times.
 //!
 //! # Limits
 //!
@@ -38,7 +38,7 @@
 mod row;
 
 pub use self::review::{Review, SETTLE_TIME, TRIAL_AFTER};
-use self::row::{Row, merge_starts};
+use self::row::{Row, merge_incarnations};
 use crate::delivery::tree::mix;
 use crate::ids::{CallDigest, IncarnationKey};
 use serde::{Deserialize, Serialize};
@@ -90,9 +90,9 @@
 pub struct Suspicion {
     /// Digest of the call.
     pub call: CallDigest,
-    /// Starts of the upstreams that ended under the call, sorted.
+    /// Incarnations of upstreams that ended under the call, sorted.
     pub ended: Vec<IncarnationKey>,
-    /// Starts of which the call was cleared, sorted.
+    /// Incarnations of whose end the call was cleared, sorted.
     pub cleared: Vec<IncarnationKey>,
     /// Milliseconds until the last end is [`QUARANTINE_TIME`] old.
     pub left_ms: u32,
@@ -101,7 +101,7 @@
 impl Suspicion {
     /// Returns the number of ends of which the call was not cleared.
     pub fn count(&self) -> usize {
-        self.ended.iter().filter(|start| !self.cleared.contains(start)).count()
+        self.ended.iter().filter(|incarnation| !self.cleared.contains(incarnation)).count()
     }
 }
 
@@ -126,7 +126,7 @@
     /// that changed.
     pub fn ended(
         &mut self,
-        start: IncarnationKey,
+        incarnation: IncarnationKey,
         calls: &[CallDigest],
         now: Instant,
     ) -> Vec<Suspicion> {
@@ -136,7 +136,7 @@
                 continue;
             }
             let row = self.row(*call, now);
-            if !merge_starts(&mut row.ended, &[start]) {
+            if !merge_incarnations(&mut row.ended, &[incarnation]) {
                 continue;
             }
             row.until = now + QUARANTINE_TIME;
@@ -172,13 +172,13 @@
         }
         let has_good_run = self.ran_well_lately(received.call, now);
         let row = self.row(received.call, now);
-        let has_new_ends = merge_starts(&mut row.ended, &received.ended);
+        let has_new_ends = merge_incarnations(&mut row.ended, &received.ended);
         if has_new_ends {
             row.until = row.until.max(now + left);
             row.ends_changed_at = now;
             row.unsaved |= row.seen_here && row.count() >= ENDS_TO_QUARANTINE;
         }
-        let has_new_cleared = merge_starts(&mut row.cleared, &received.cleared);
+        let has_new_cleared = merge_incarnations(&mut row.cleared, &received.cleared);
         row.unsaved |= has_new_cleared && row.is_stored;
         let mut has_changed = has_new_cleared || has_new_ends;
         has_changed |= has_good_run && row.clear();
@@ -214,11 +214,11 @@
 
     /// Returns a hash that is equal at daemons with equal suspicions.
     pub fn summary(&self, now: Instant) -> u64 {
-        let starts = |starts: &[IncarnationKey], salt: u64| {
-            starts.iter().fold(salt, |acc, start| mix(acc ^ start.0))
+        let hash = |incarnations: &[IncarnationKey], salt: u64| {
+            incarnations.iter().fold(salt, |acc, incarnation| mix(acc ^ incarnation.0))
         };
         self.gossiped_rows(now).fold(0, |acc, (call, row)| {
-            acc ^ mix(call.0 ^ starts(&row.ended, 1) ^ starts(&row.cleared, 2).rotate_left(1))
+            acc ^ mix(call.0 ^ hash(&row.ended, 1) ^ hash(&row.cleared, 2).rotate_left(1))
         })
     }
 
--- a/crates/core/src/request/suspects/review.rs
+++ b/crates/core/src/request/suspects/review.rs
@@ -67,7 +67,8 @@
         let ends = row.count();
         let with_more_ends: Vec<&Row> =
             self.others(call).filter(|other| other.count() > ends).collect();
-        row.uncleared().all(|start| with_more_ends.iter().any(|other| other.is_uncleared(*start)))
+        row.uncleared()
+            .all(|incarnation| with_more_ends.iter().any(|other| other.is_uncleared(*incarnation)))
     }
 
     /// Returns whether at each uncleared end of a call there was another suspect of two ends.
@@ -78,8 +79,8 @@
         let is_first_verdict = row.count() == ENDS_TO_QUARANTINE;
         let suspects: Vec<&Row> =
             self.others(call).filter(|other| other.ended.len() >= ENDS_TO_QUARANTINE).collect();
-        row.uncleared().all(|start| {
-            let mut at_same_end = suspects.iter().filter(|other| other.ended.contains(start));
+        row.uncleared().all(|incarnation| {
+            let mut at_same_end = suspects.iter().filter(|other| other.ended.contains(incarnation));
             at_same_end.any(|other| is_first_verdict || other.count() >= ENDS_TO_QUARANTINE)
         })
     }
--- a/crates/core/src/request/suspects/row.rs
+++ b/crates/core/src/request/suspects/row.rs
@@ -4,7 +4,8 @@
 use crate::ids::{CallDigest, IncarnationKey};
 use std::time::Instant;
 
-/// Ends of upstreams under one call, and those of which the call was cleared.
+/// Ends of upstreams under one call, each by the upstream's incarnation, and those ends of
+/// which the call was cleared.
 #[derive(Clone, Debug)]
 pub(super) struct Row {
     pub ended: Vec<IncarnationKey>,
@@ -40,11 +41,11 @@
 
     /// Returns the ends of which the call was not cleared.
     pub fn uncleared(&self) -> impl Iterator<Item = &IncarnationKey> {
-        self.ended.iter().filter(|start| !self.cleared.contains(start))
+        self.ended.iter().filter(|incarnation| !self.cleared.contains(incarnation))
     }
 
-    pub fn is_uncleared(&self, start: IncarnationKey) -> bool {
-        self.ended.contains(&start) && !self.cleared.contains(&start)
+    pub fn is_uncleared(&self, incarnation: IncarnationKey) -> bool {
+        self.ended.contains(&incarnation) && !self.cleared.contains(&incarnation)
     }
 
     pub fn has_verdict(&self, now: Instant) -> bool {
@@ -54,7 +55,7 @@
     /// Clears the call of all ends known; returns whether this changed anything.
     pub fn clear(&mut self) -> bool {
         let has_changed = self.count() > 0;
-        merge_starts(&mut self.cleared, &self.ended);
+        merge_incarnations(&mut self.cleared, &self.ended);
         // A restart of all daemons would restore the old row from the store.
         self.unsaved |= has_changed && self.is_stored;
         has_changed
@@ -71,13 +72,14 @@
     }
 }
 
-/// Merges starts into a sorted list of at most [`MAX_ENDS`]; returns whether the list changed.
-pub(super) fn merge_starts(own: &mut Vec<IncarnationKey>, others: &[IncarnationKey]) -> bool {
+/// Merges incarnations into a sorted list of at most [`MAX_ENDS`]; returns whether the list
+/// changed.
+pub(super) fn merge_incarnations(own: &mut Vec<IncarnationKey>, others: &[IncarnationKey]) -> bool {
     let before = own.clone();
     own.extend_from_slice(others);
     own.sort_unstable();
     own.dedup();
-    // All daemons keep the same starts, whatever the order in which they arrive.
+    // All daemons keep the same incarnations, whatever the order in which they arrive.
     own.truncate(MAX_ENDS);
     *own != before
 }
