--- a/src/daemon/discovery.rs
+++ b/src/daemon/discovery.rs
@@ -9,8 +9,8 @@
 //! so that groups separated by a partition find each other again. A missing entry does
 //! not mean that its daemon is dead: leases expire while the store is unavailable.
 //!
-//! The cost in calls to the store grows with starts, by a tenth of a current read each,
-//! and not with the number of daemons.
+//! The load on the store grows with the number of starts, each of which costs a tenth of a
+//! current read, and not with the number of daemons.
 
 use super::{Daemon, catch_up, lock};
 use crate::store::{ConditionalWrite, KeyValueStore, Lease, Pair, PlatformError, keys};
@@ -36,19 +36,19 @@
 /// Longest time that a daemon waits before it writes its first entry. The wait is random,
 /// so that only a handful of hundreds that start at once write one.
 const MAX_FIRST_WRITE_DELAY: Duration = Duration::from_millis(2000);
-/// Width of a link in Mbit/s above which its daemon waits less before its first entry,
-/// since others will ask it for the whole table.
+/// Width of a link in Mbit/s above which its daemon waits less before it writes its first
+/// entry, since starting daemons ask those with an entry for the whole table.
 const WIDE_LINK_MBPS: f64 = 20.0;
 /// Time after a start in which a daemon compares tables with one that it found, at
 /// intervals that double, since others may still be starting.
 const STARTUP_SYNC_TIME: Duration = Duration::from_secs(4);
-/// First of these intervals.
+/// First interval between these comparisons.
 const FIRST_SYNC_DELAY: Duration = Duration::from_millis(300);
 /// Time between two reads by a daemon that keeps an entry.
 const READ_INTERVAL: Duration = Duration::from_secs(5);
-/// Greatest age of a read. Stale reads are used since they cost a tenth of a current one;
-/// a daemon that does not find its own entry takes it as missing only this long after it
-/// wrote the entry.
+/// Largest age of the data that a stale read returns. Stale reads are used since they cost a
+/// tenth of a current one; a daemon that does not find its own entry treats it as missing
+/// only this long after it wrote the entry.
 const MAX_STALENESS: Duration = Duration::from_secs(5);
 /// Time for which a daemon must have been eligible to keep an entry before it writes one,
 /// once it knows others: tables differ for a moment after a start.
--- a/src/daemon/limits.rs
+++ b/src/daemon/limits.rs
@@ -31,8 +31,9 @@
 /// State of the notices of throttled limits.
 #[derive(Default)]
 struct Notices {
-    /// Number of the last notice of this daemon, and when it was sent.
+    /// Number of this daemon's last notice.
     last_number: u64,
+    /// When this daemon last sent a notice.
     last_sent: Option<Instant>,
     /// Throttled limits listed in this daemon's last notice.
     announced: BTreeSet<LimitKey>,
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Returns how many calls of [`Grant::ALL`] this daemon admits under a limit, and the
-    /// calls admitted a second.
+    /// Returns the share of calls that this daemon admits under a limit ([`Grant::ALL`] for all
+    /// calls), and the number of calls admitted per second.
     pub fn share_and_rate(&self, key: LimitKey, now: Instant) -> (u16, f64) {
         let limiters = lock(self.shard(key));
         limiters.get(&key).map_or((Grant::ALL, 0.0), |limiter| limiter.share_and_rate(now))
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -19,7 +19,7 @@
 use std::time::Instant;
 
 /// Daemons of a failure domain that follow the store for the others. A follower reads every
-/// version whole, which delays its requests by a third of a second on a link of 5 Mbit/s.
+/// version completely, which delays its requests by a third of a second on a link of 5 Mbit/s.
 /// With four followers instead of two, the median time to reach hosts with narrow links was
 /// 284 ms under five changes in two seconds, and 10 ms for the other hosts.
 const FOLLOWERS_PER_DOMAIN: usize = 2;
@@ -225,7 +225,7 @@
                 inner.alive_by_link(&self.domain).iter().take(BRIDGES).any(|h| *h == self.me);
         }
         drop(inner);
-        candidates.sample(|most| fastrand::usize(..most.max(1)))
+        candidates.sample(|bound| fastrand::usize(..bound.max(1)))
     }
 
     /// Returns the receivers of an update that has to reach every daemon within milliseconds:
@@ -242,10 +242,10 @@
         let mut per_domain: BTreeMap<&String, usize> = BTreeMap::new();
         let mut is_target = |host: &HostKey| {
             let Some(domain) = domain_of(host) else { return false };
-            let most = if *domain == self.domain { GOSSIP_FANOUT } else { 1 };
+            let max_count = if *domain == self.domain { GOSSIP_FANOUT } else { 1 };
             let count = per_domain.entry(domain).or_default();
             *count += 1;
-            *count <= most
+            *count <= max_count
         };
         targets.retain(&mut is_target);
         targets
@@ -284,7 +284,7 @@
         Some(if record.domain == self.domain { record.near } else { record.far })
     }
 
-    /// Returns all hosts in the failure domain of `host`, with `host` itself.
+    /// Returns all hosts in the failure domain of `host`, including `host` itself.
     pub fn same_domain_hosts(&self, host: HostKey) -> Vec<HostKey> {
         let inner = lock(&self.inner);
         let domain = inner.table.get(host).map(|record| record.domain.as_str());
--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -30,13 +30,12 @@
 
 /// `Retry-After` of a daemon that has no configuration yet; a start takes about this long.
 const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// `Retry-After` for an organisation that is over its quota; the limit is refilled by the
-/// second.
+/// `Retry-After` for an organisation that is over its quota; quotas are rates per second.
 const OVER_QUOTA_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// How recently the store must have confirmed that the configuration is the newest before
 /// a caller gets the answer that its route or key does not exist: one and a half times the
 /// length of a watch. A daemon that loses the store in between drops the confirmation at
-/// once, or after three seconds if the loss shows only as silence.
+/// once, or after three seconds if the store falls silent without an error.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(15);
 
 /// How long before its caller's deadline a call is given up, so that the error response
@@ -271,8 +270,8 @@
     res
 }
 
-/// Returns whether the version in force is certainly the newest; with the product's own
-/// platform interface this is taken for granted.
+/// Returns whether the version in force is certainly the newest. With the product's own
+/// platform interface, which has no adapter, it is assumed to be.
 fn is_config_current(d: &Daemon, now: Instant) -> bool {
     d.platform_adapter.is_none() || d.versions.document.is_current(now, MAX_CONFIRMATION_AGE)
 }
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -25,14 +25,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time after which to retry a call whose upstream could not be reached or was replaced: its
-/// next start or report takes at least as long.
+/// Time after which to retry a call whose upstream could not be reached or was replaced: the
+/// upstream's next start or report takes at least as long.
 const UNREACHED_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Share of the keep-alive time that an upstream states, or else of [`IDLE_TIMEOUT`], in which
-/// a connection is reused. The rest is for requests that are on their way at its end.
+/// Fraction of its keep-alive time in which an idle connection is reused. The keep-alive time
+/// is the one that the upstream states, or else [`IDLE_TIMEOUT`]. Without the margin, a
+/// request could still be on its way when the upstream closes the connection.
 const REUSE_SHARE: f64 = 0.7;
 
-/// Largest answer that is buffered whole before it is passed on, in bytes. Nearly all
+/// Largest answer that is buffered completely before it is passed on, in bytes. Nearly all
 /// documents fit, and a handful of them at a time take less than one or two megabytes.
 const MAX_BUFFERED_ANSWER: usize = 256 << 10;
 
@@ -91,9 +92,9 @@
         Err(refusal) => return refuse(&d, &cx, refusal, arrived, Some(&local)),
     };
     let now = d.clock.now();
-    // The process may have been frozen since the admission. Work whose answer nobody
-    // waits for any more would then take a slot, so the clock is read again at the last
-    // moment before the upstream is involved.
+    // The process may have been frozen since the admission. A call past its deadline would
+    // then take a slot although nobody waits for its answer, so the clock is read again
+    // before the call is sent to the upstream.
     if now >= deadline {
         return refuse(&d, &cx, Refusal::TooLate, arrived, Some(&local));
     }
@@ -129,12 +130,13 @@
     }
 }
 
-/// Returns how long a call's answer will take to leave by the host's link.
+/// Returns how long a call's answer will take to leave by the host's link, its wait for the
+/// link included; zero if no large answer is expected or the link is not shaped.
 ///
 /// # Errors
 ///
 /// Returns how long the link is busy if the answer would be too late, or if the link is
-/// busy for longer than the call accepts.
+/// busy for longer than the call's `max_link_backlog_ms`.
 fn admit_on_link(
     d: &Daemon,
     cx: &Context,
@@ -217,7 +219,7 @@
 
 /// Passes an upstream's answer on; the slot is released when its body has ended.
 ///
-/// Most answers are buffered whole first. If an answer were passed on only as fast as the
+/// Most answers are buffered completely first. If an answer were passed on only as fast as the
 /// caller's link takes it, it would occupy a slot of the upstream for as long, and calls
 /// would be refused while the upstream is idle.
 async fn pass_on_answer(
@@ -365,7 +367,7 @@
     .detach();
 }
 
-/// Most bytes of a refusal's body that are read to reuse its connection.
+/// Maximum number of bytes of a refusal's body that are read to reuse its connection.
 const MAX_REFUSAL_BODY: usize = 4096;
 
 /// Returns how long an upstream's connection may be reused, or `None` if the upstream
--- a/src/daemon/request/send.rs
+++ b/src/daemon/request/send.rs
@@ -27,13 +27,15 @@
 /// call: a round trip between failure domains, and its own processing.
 const ANSWER_MARGIN: Duration = Duration::from_millis(10);
 
-/// Bytes counted for the head of a call, and for that of its answer, between daemons.
+/// Bytes that the traffic counters assume for the head of a call between daemons, and for the
+/// head of its answer.
 const HEAD_BYTES: usize = 600;
 
 /// How one attempt is sent. Short limits on its waits leave time to ask other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendOptions {
-    /// How long the host's link may be busy already, if the call's answer is large.
+    /// Longest time for which the host's link may already be busy, if the call's answer is
+    /// large.
     pub max_link_backlog: Duration,
     /// Longest wait for a slot of the upstream.
     pub max_slot_wait: Duration,
--- a/src/daemon/source.rs
+++ b/src/daemon/source.rs
@@ -61,7 +61,7 @@
 const FIRST_START_WAIT: (Duration, Duration) =
     (Duration::from_millis(1500), Duration::from_millis(3500));
 /// Number of successive checks that find this daemon not needed before it stops following
-/// the store: a follower that comes and goes is worse than one more.
+/// the store: a follower that repeatedly starts and stops is worse than an additional one.
 const CHECKS_BEFORE_STOP: u32 = 12;
 /// Time between two heartbeats of a follower. One may be lost before the members that
 /// rely on it follow the store themselves.
@@ -74,8 +74,8 @@
 /// and link-time optimization, eleven daemons under overload took 5.5 GB x seconds of
 /// memory in a minute instead of 12.4 (resident size, summed).
 pub const MAX_CALLER_IDLE: Duration = Duration::from_secs(2);
-/// Time by which idle connections outlive what callers are told, so that a call sent at
-/// the last moment does not meet a closed connection.
+/// Time for which idle connections are kept beyond the time announced to callers, so that a
+/// call sent at the last moment does not meet a closed connection.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
 /// Why a version is rejected.
@@ -198,8 +198,9 @@
 /// designated followers, or receives no heartbeat of any.
 ///
 /// Followers may die, or be cut off from some members but not from the store. A change
-/// would then be accepted and not come into force on those members. They do not wait for
-/// membership to notice: about a second without a heartbeat is enough.
+/// would then be accepted and not come into force on those members. They do not wait until
+/// the failure detector marks the followers as dead: about a second without a heartbeat is
+/// enough.
 fn should_follow(d: &Daemon) -> bool {
     let (document, now) = (&d.versions.document, d.clock.now());
     let is_designated = d.members.followers().contains(&d.me);
@@ -246,10 +247,11 @@
 /// Returns whether to wait for the usual source of a newer version rather than ask this
 /// member.
 ///
-/// If members asked whichever daemon they hear from first, it might not keep the version
-/// that they hold, and would send the complete text over a narrow link, so that the next
-/// version is late. A member therefore asks its own follower while that one sends
-/// heartbeats, then another follower, and any member only when neither delivers.
+/// If a member asked the first daemon that announces a newer version, that daemon might not
+/// keep the version that the member holds. It would send the complete text instead of a
+/// delta, and over a narrow link that delays the next version. A member therefore asks its
+/// own follower while it receives this follower's heartbeats, then another follower, and any
+/// member only when neither delivers.
 fn may_wait(d: &Daemon, member: HostKey, member_follows: bool, behind: Duration) -> bool {
     let now = d.clock.now();
     let document = &d.versions.document;
@@ -439,8 +441,8 @@
     };
     let limits = running.table.limits;
     let routes = running.table.len();
-    // Members ask only followers for updates; other daemons need not keep the text before
-    // this one.
+    // Members usually ask followers for updates; other daemons need not keep the previous
+    // text.
     let keep_older = d.follows_store.load(Ordering::Relaxed);
     if !d.versions.install(running, revision, text, keep_older) {
         return;
