--- a/src/daemon/request/entry.rs
+++ b/src/daemon/request/entry.rs
@@ -2,9 +2,9 @@
 
 use super::attempts;
 use super::digest::DigestInput;
+use super::log_lines::RefuseLine;
 use super::payload::{MAX_BUFFERED, buffer};
 use super::sender::{self, Sender};
-use super::story::RefuseLine;
 use super::tracked::InFlightGuard;
 use super::work::{RoutedCall, pick_part};
 use super::{headers, paced};
@@ -30,13 +30,12 @@
 
 /// `Retry-After` of a daemon that has no configuration yet; a start takes about this long.
 const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// `Retry-After` for an organisation that is over its quota; the limit is refilled by the
-/// second.
+/// `Retry-After` for an organisation that is over its quota; quotas are rates per second.
 const OVER_QUOTA_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// How recently the store must have confirmed that the configuration is the newest before
 /// a caller gets the answer that its route or key does not exist: one and a half times the
 /// length of a watch. A daemon that loses the store in between drops the confirmation at
-/// once, or after three seconds if the loss shows only as silence.
+/// once, or after three seconds if the store falls silent without an error.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(15);
 
 /// How long before its caller's deadline a call is given up, so that the error response
@@ -46,7 +45,7 @@
 
 /// Answers one caller's request.
 pub async fn handle(d: Arc<Daemon>, peer: SocketAddr, req: Request<Body>) -> Response<Body> {
-    let counted = InFlightGuard::new(&d);
+    let in_flight = InFlightGuard::new(&d);
     let now = d.clock.now();
     let started = match req.extensions().get::<PipelineDelay>() {
         Some(PipelineDelay(time)) => {
@@ -68,7 +67,7 @@
         let seconds = MAX_CALLER_IDLE.as_secs();
         headers::set(res.headers_mut(), "keep-alive", &format!("timeout={seconds}"));
     }
-    paced::pace_answer(&d, res).map(|body| body::with_guard(body, counted))
+    paced::pace_answer(&d, res).map(|body| body::with_guard(body, in_flight))
 }
 
 async fn serve(
@@ -271,8 +270,8 @@
     res
 }
 
-/// Returns whether the version in force is certainly the newest; with the product's own
-/// platform interface this is taken for granted.
+/// Returns whether the version in force is certainly the newest. With the product's own
+/// platform interface, which has no adapter, it is assumed to be.
 fn is_config_current(d: &Daemon, now: Instant) -> bool {
     d.platform_adapter.is_none() || d.versions.document.is_current(now, MAX_CONFIRMATION_AGE)
 }
--- a/src/daemon/request/exit.rs
+++ b/src/daemon/request/exit.rs
@@ -2,9 +2,9 @@
 //! the answer on.
 
 use super::headers;
+use super::log_lines::AdmitLine;
 use super::paced::ExpectedAnswer;
 use super::payload::{Payload, buffer};
-use super::story::AdmitLine;
 use super::tracked::{InFlightGuard, TrackedBody};
 use crate::daemon::gates::ended;
 use crate::daemon::gates::local::{LocalUpstream, SlotPermit};
@@ -25,14 +25,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time after which to retry a call whose upstream could not be reached or was replaced: its
-/// next start or report takes at least as long.
+/// Time after which to retry a call whose upstream could not be reached or was replaced: the
+/// upstream's next start or report takes at least as long.
 const UNREACHED_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Share of the keep-alive time that an upstream states, or else of [`IDLE_TIMEOUT`], in which
-/// a connection is reused. The rest is for requests that are on their way at its end.
+/// Fraction of its keep-alive time in which an idle connection is reused. The keep-alive time
+/// is the one that the upstream states, or else [`IDLE_TIMEOUT`]. Without the margin, a
+/// request could still be on its way when the upstream closes the connection.
 const REUSE_SHARE: f64 = 0.7;
 
-/// Largest answer that is buffered whole before it is passed on, in bytes. Nearly all
+/// Largest answer that is buffered completely before it is passed on, in bytes. Nearly all
 /// documents fit, and a handful of them at a time take less than one or two megabytes.
 const MAX_BUFFERED_ANSWER: usize = 256 << 10;
 
@@ -86,14 +87,14 @@
         kind,
         max_wait: Duration::from_millis(u64::from(cx.max_slot_wait_ms)),
     };
-    let pass = match local.admit(arrival, &d.clock).await {
-        Ok(pass) => pass,
+    let permit = match local.admit(arrival, &d.clock).await {
+        Ok(permit) => permit,
         Err(refusal) => return refuse(&d, &cx, refusal, arrived, Some(&local)),
     };
     let now = d.clock.now();
-    // The process may have been frozen since the admission. Work whose answer nobody
-    // waits for any more would then take a slot, so the clock is read again at the last
-    // moment before the upstream is involved.
+    // The process may have been frozen since the admission. A call past its deadline would
+    // then take a slot although nobody waits for its answer, so the clock is read again
+    // before the call is sent to the upstream.
     if now >= deadline {
         return refuse(&d, &cx, Refusal::TooLate, arrived, Some(&local));
     }
@@ -107,7 +108,7 @@
     }
     log_admit(&d, &cx, "run", arrived, Some(&local));
     let expected = ExpectedAnswer::new(&d, kind);
-    let res = forward(d, cx, req, local, pass, deadline).await;
+    let res = forward(d, cx, req, local, permit, deadline).await;
     drop(expected);
     res
 }
@@ -129,12 +130,13 @@
     }
 }
 
-/// Returns how long a call's answer will take to leave by the host's link.
+/// Returns how long a call's answer will take to leave by the host's link, its wait for the
+/// link included; zero if no large answer is expected or the link is not shaped.
 ///
 /// # Errors
 ///
 /// Returns how long the link is busy if the answer would be too late, or if the link is
-/// busy for longer than the call accepts.
+/// busy for longer than the call's `max_link_backlog_ms`.
 fn admit_on_link(
     d: &Daemon,
     cx: &Context,
@@ -154,25 +156,25 @@
     cx: Context,
     mut req: Request<Body>,
     local: Arc<LocalUpstream>,
-    pass: SlotPermit,
+    permit: SlotPermit,
     deadline: Instant,
 ) -> Response<Body> {
     let started = d.clock.now();
     let left = deadline - started;
     set_upstream_headers(&d, &cx, &local.instance, req.headers_mut(), left);
-    pass.begin(cx.digest);
+    permit.begin(cx.digest);
     let sent = exec::timeout(left, local.pool.send(local.address, req)).await;
     let (res, connection) = match sent {
         Some(Ok(received)) => received,
         Some(Err(err)) if err.is_unsent() => {
             local.record_connect_failure();
             ended::check_after_refused_connection(&d, &local).await;
-            pass.end(End::Failed, d.clock.now());
+            permit.end(End::Failed, d.clock.now());
             return not_run(&d, &cx, "unreached", UNREACHED_RETRY_AFTER, started, &local);
         }
         Some(Err(err)) => {
             let has_ended = ended::check_after_broken_call(&d, &local, cx.digest).await;
-            pass.end(End::Failed, d.clock.now());
+            permit.end(End::Failed, d.clock.now());
             d.rollouts.observe(&local, KindKey(cx.call_kind), None);
             log::warn!("call {}: upstream {}: {err}", cx.request_id, cx.instance);
             let reason = if has_ended { call::UPSTREAM_ENDED } else { "upstream-broke" };
@@ -180,12 +182,12 @@
         }
         None => {
             local.record_timeout(&d);
-            pass.end(End::Failed, d.clock.now());
+            permit.end(End::Failed, d.clock.now());
             d.rollouts.observe(&local, KindKey(cx.call_kind), None);
             return unknown(&d, &cx, StatusCode::GATEWAY_TIMEOUT, "deadline", started, &local);
         }
     };
-    let passed_on = pass_on_answer(&d, &cx, res, connection, &local, pass, started);
+    let passed_on = pass_on_answer(&d, &cx, res, connection, &local, permit, started);
     match exec::timeout(deadline.saturating_duration_since(d.clock.now()), passed_on).await {
         Some(res) => res,
         None => unknown(&d, &cx, StatusCode::GATEWAY_TIMEOUT, "deadline", started, &local),
@@ -217,7 +219,7 @@
 
 /// Passes an upstream's answer on; the slot is released when its body has ended.
 ///
-/// Most answers are buffered whole first. If an answer were passed on only as fast as the
+/// Most answers are buffered completely first. If an answer were passed on only as fast as the
 /// caller's link takes it, it would occupy a slot of the upstream for as long, and calls
 /// would be refused while the upstream is idle.
 async fn pass_on_answer(
@@ -226,7 +228,7 @@
     res: Response<Incoming>,
     connection: Connection,
     local: &Arc<LocalUpstream>,
-    pass: SlotPermit,
+    permit: SlotPermit,
     started: Instant,
 ) -> Response<Body> {
     let (mut head, incoming) = res.into_parts();
@@ -234,7 +236,7 @@
     // connection, and a caller would get the answer to another caller's request. An answer
     // without this call's id is not passed on, and its connection is closed.
     if d.dialect.echoes_request_id && !has_request_id(d, cx, &head.headers) {
-        pass.end(End::Failed, d.clock.now());
+        permit.end(End::Failed, d.clock.now());
         d.metrics.incr("upstream.wrong_answer");
         return unknown(d, cx, StatusCode::BAD_GATEWAY, "wrong-answer", started, local);
     }
@@ -242,7 +244,7 @@
         in_band::apply(d, local, Signals::of(d, &head.headers), started);
     }
     if let Some(res) = refusal_of_upstream(d, cx, &head, local) {
-        pass.end(End::Shed, d.clock.now());
+        permit.end(End::Shed, d.clock.now());
         keep_connection(incoming, connection, local);
         return res;
     }
@@ -259,7 +261,7 @@
             let now = d.clock.now();
             let took = now.saturating_duration_since(started);
             d.metrics.time("upstream.time", took);
-            pass.end(if is_complete { End::Answered(took) } else { End::Failed }, now);
+            permit.end(if is_complete { End::Answered(took) } else { End::Failed }, now);
             d.rollouts.observe(&local, kind, (is_complete && !has_failed).then_some(took));
             if is_complete {
                 quarantine::record_answer(&d, digest);
@@ -365,7 +367,7 @@
     .detach();
 }
 
-/// Most bytes of a refusal's body that are read to reuse its connection.
+/// Maximum number of bytes of a refusal's body that are read to reuse its connection.
 const MAX_REFUSAL_BODY: usize = 4096;
 
 /// Returns how long an upstream's connection may be reused, or `None` if the upstream
