--- a/crates/core/src/delivery/head.rs
+++ b/crates/core/src/delivery/head.rs
@@ -78,23 +78,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refused {
     /// What it would take away is not there.
-    Absent(String),
+    NotFound(String),
     /// Another operator changed the same thing since this one looked.
-    Raced { what: String, since: Version, now: Version },
+    Conflict { what: String, since: Version, now: Version },
     /// The lost answer can no longer be settled: too many versions followed.
-    Unsettled { since: Version, now: Version },
+    OutcomeUnknown { since: Version, now: Version },
 }
 
 impl fmt::Display for Refused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Absent(what) => write!(f, "{what} does not exist; `list` shows what does"),
-            Refused::Raced { what, since, now } => write!(
+            Refused::NotFound(what) => write!(f, "{what} does not exist; `list` shows what does"),
+            Refused::Conflict { what, since, now } => write!(
                 f,
                 "{what} was changed by another operator between versions {since} and {now}; \
                  look at it and run the command again"
             ),
-            Refused::Unsettled { since, now } => write!(
+            Refused::OutcomeUnknown { since, now } => write!(
                 f,
                 "the answer was lost and versions went from {since} to {now} meanwhile; \
                  use `list` to see whether the change took effect"
@@ -123,9 +123,9 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Refused::Absent`] where there is nothing to take away.
+    /// Returns [`Refused::NotFound`] where there is nothing to take away.
     pub fn apply(&self, manifest: &mut Manifest) -> Result<(), Refused> {
-        let absent = || Refused::Absent(self.subject());
+        let absent = || Refused::NotFound(self.subject());
         match self {
             Operation::Accept(entry) => {
                 manifest.configs.insert(entry.id.clone(), entry.clone());
@@ -162,7 +162,7 @@
     ///
     /// The loser of a race is applied again to the new manifest only where its
     /// own subject stayed as its operator last saw it.
-    pub fn touches_difference(&self, before: &Manifest, after: &Manifest) -> bool {
+    pub fn subject_differs(&self, before: &Manifest, after: &Manifest) -> bool {
         match self {
             Operation::Accept(entry) => {
                 before.configs.get(&entry.id) != after.configs.get(&entry.id)
@@ -183,7 +183,7 @@
 
 /// What a client does after reading the head once more.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum OperationOutcome {
     /// The operation took effect as this version.
     Done(Version),
     /// It did not, and may be tried again.
@@ -197,15 +197,19 @@
 ///
 /// # Errors
 ///
-/// Returns [`Refused::Unsettled`] where the head no longer reaches back to
+/// Returns [`Refused::OutcomeUnknown`] where the head no longer reaches back to
 /// `base`, so that the operation may have been there.
-pub fn settle(head: &Head, op_id: &str, base: Version) -> Result<Settled, Refused> {
+pub fn resolve_outcome(
+    head: &Head,
+    op_id: &str,
+    base: Version,
+) -> Result<OperationOutcome, Refused> {
     if let Some(version) = head.find(op_id) {
-        return Ok(Settled::Done(version));
+        return Ok(OperationOutcome::Done(version));
     }
     let reaches_back = head.version - base.min(head.version) <= head.ops.len() as u64;
     if reaches_back {
-        return Ok(Settled::Retry);
+        return Ok(OperationOutcome::Retry);
     }
-    Err(Refused::Unsettled { since: base, now: head.version })
+    Err(Refused::OutcomeUnknown { since: base, now: head.version })
 }
--- a/crates/core/src/delivery/node.rs
+++ b/crates/core/src/delivery/node.rs
@@ -4,7 +4,7 @@
 //! come late, twice or in any order without harm. `spec/` explores it together
 //! with crashes, losses and cuts.
 
-use super::witness::{Panel, Testimonies, Testimony};
+use super::witness::{Testimonies, Testimony, WitnessSet};
 use crate::ids::{HostKey, Incarnation, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,11 +21,11 @@
     /// A witness that lost its memory stays silent until it is current.
     pub silent_while_fresh: bool,
     /// Promises of lives that are over do not count.
-    pub check_lives: bool,
+    pub check_incarnations: bool,
     /// Only answers to this life's own question set the floor.
     pub match_answers: bool,
     /// A witness promises only what it holds whole.
-    pub hold_before_promise: bool,
+    pub stage_before_promise: bool,
 }
 
 impl Guards {
@@ -34,9 +34,9 @@
         floor_before_run: true,
         majority_before_run: true,
         silent_while_fresh: true,
-        check_lives: true,
+        check_incarnations: true,
         match_answers: true,
-        hold_before_promise: true,
+        stage_before_promise: true,
     };
 }
 
@@ -46,13 +46,13 @@
     /// The platform's head was read, and the read began in this life.
     HeadRead(Version),
     /// Every object of this version that concerns the proxy is here and valid.
-    Held(Version),
+    Staged(Version),
     /// A reader or a recovering daemon asks to promise a version.
-    PromiseAsked(Version),
+    PromiseRequested(Version),
     /// A fresh daemon asks for its floor.
-    FloorAsked { from: HostKey, life: Incarnation },
+    FloorRequested { from: HostKey, life: Incarnation },
     /// A witness spoke.
-    Testified(Testimony),
+    TestimonyReceived(Testimony),
     /// Somebody counted a majority of promises for this version.
     Activated(Version),
 }
@@ -61,13 +61,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Answer whoever asked.
-    Testify(Testimony),
+    SendTestimony(Testimony),
     /// Answer that this witness cannot speak yet.
     Decline,
     /// Fetch and check this version, since the floor or a majority requires it.
     Stage(Version),
     /// Ask the witnesses to promise this version, since its fate is in doubt.
-    AskPromises(Version),
+    RequestPromises(Version),
     /// Swap the running table for this version's.
     Run(Version),
 }
@@ -77,7 +77,7 @@
 pub struct Node {
     me: HostKey,
     life: Incarnation,
-    panel: Panel,
+    panel: WitnessSet,
     guards: Guards,
     floor: Option<Version>,
     held: BTreeSet<Version>,
@@ -91,7 +91,7 @@
 
 impl Node {
     /// Makes the state of a daemon that has just started and knows nothing.
-    pub fn new(me: HostKey, life: Incarnation, panel: Panel, guards: Guards) -> Node {
+    pub fn new(me: HostKey, life: Incarnation, panel: WitnessSet, guards: Guards) -> Node {
         Node {
             me,
             life,
@@ -124,7 +124,7 @@
     }
 
     /// Returns the highest version held whole.
-    pub fn held(&self) -> Version {
+    pub fn newest_staged(&self) -> Version {
         self.held.last().copied().unwrap_or(self.running)
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Returns the number of this life, by which questions are asked.
-    pub fn life(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         self.life
     }
 
@@ -148,10 +148,10 @@
         let mut actions = Vec::new();
         match event {
             Event::HeadRead(version) => self.lower_floor(version, &mut actions),
-            Event::Held(version) => self.hold(version),
-            Event::PromiseAsked(version) => self.promise(version, &mut actions),
-            Event::FloorAsked { from, life } => self.answer(from, life, &mut actions),
-            Event::Testified(testimony) => self.hear(testimony),
+            Event::Staged(version) => self.hold(version),
+            Event::PromiseRequested(version) => self.promise(version, &mut actions),
+            Event::FloorRequested { from, life } => self.answer(from, life, &mut actions),
+            Event::TestimonyReceived(testimony) => self.hear(testimony),
             Event::Activated(version) => self.activate(version, &mut actions),
         }
         self.recover(&mut actions);
@@ -182,10 +182,10 @@
 
     fn promise(&mut self, version: Version, actions: &mut Vec<Action>) {
         let has = self.held.contains(&version) || version <= self.running;
-        if has || !self.guards.hold_before_promise {
+        if has || !self.guards.stage_before_promise {
             self.promised = self.promised.max(version);
         }
-        actions.push(self.testimony(None).map_or(Action::Decline, Action::Testify));
+        actions.push(self.testimony(None).map_or(Action::Decline, Action::SendTestimony));
     }
 
     fn answer(&mut self, from: HostKey, life: Incarnation, actions: &mut Vec<Action>) {
@@ -194,7 +194,7 @@
             *newest = life.max(*newest);
         }
         let testimony = self.testimony(Some((from, life)));
-        actions.push(testimony.map_or(Action::Decline, Action::Testify));
+        actions.push(testimony.map_or(Action::Decline, Action::SendTestimony));
     }
 
     fn hear(&mut self, testimony: Testimony) {
@@ -237,7 +237,7 @@
         // complete it: whoever notices does.
         if bound > self.active && self.held.contains(&bound) {
             self.promised = self.promised.max(bound);
-            actions.push(Action::AskPromises(bound));
+            actions.push(Action::RequestPromises(bound));
         }
     }
 
@@ -256,15 +256,15 @@
         if let Some(own) = self.testimony(None) {
             all.add(own);
         }
-        let active = all.active(&self.panel, self.guards.check_lives);
+        let active = all.active(&self.panel, self.guards.check_incarnations);
         self.activate(active, actions);
-        self.heard.forget(self.active);
+        self.heard.prune(self.active);
     }
 
     fn run(&mut self, actions: &mut Vec<Action>) {
         let version = match self.guards.majority_before_run {
             true => self.active,
-            false => self.held(),
+            false => self.newest_staged(),
         };
         if version <= self.running || !self.held.contains(&version) {
             return;
--- a/crates/core/src/delivery/promotion.rs
+++ b/crates/core/src/delivery/promotion.rs
@@ -19,7 +19,7 @@
     /// Wait for answers until this time.
     WaitUntil(Instant),
     /// Ask the witnesses to promise it.
-    AskPromises,
+    RequestPromises,
     /// Leave the version before it in force; somebody refused.
     Withhold,
 }
@@ -91,7 +91,7 @@
         }
         let until = self.offered_at + GRACE;
         if self.waiting.is_empty() || now >= until {
-            return Step::AskPromises;
+            return Step::RequestPromises;
         }
         Step::WaitUntil(until)
     }
--- a/crates/core/src/delivery/stage.rs
+++ b/crates/core/src/delivery/stage.rs
@@ -1,6 +1,6 @@
 //! What of a version is still missing, and the table once nothing is.
 //!
-//! Staging is a loop: [`next`] names the objects to fetch, the caller puts them
+//! Staging is a loop: [`next_step`] names the objects to fetch, the caller puts them
 //! into the [`Store`], and asks again, until it gets the compiled table or a
 //! reason why the version is bad. Nothing is kept between rounds, so that a
 //! fetch that fails half-way leaves no half version behind.
@@ -20,12 +20,12 @@
     /// Only what the proxy's labels select.
     Selected,
     /// Everything, as a reader does, to check it whole before offering it.
-    Whole,
+    Complete,
 }
 
 /// What staging needs next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum StagingStep {
     /// Fetch these objects and ask again.
     Fetch(Vec<ObjectHash>),
     /// Every object is here and valid.
@@ -45,7 +45,7 @@
 
 /// Why a version cannot be run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum InvalidVersion {
     /// An object's bytes have the right name and are not what they should be.
     Unreadable(ObjectHash),
     /// The root is of another version than the one offered.
@@ -56,71 +56,73 @@
     TooLarge { id: String, bytes: u64 },
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for InvalidVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Bad::Unreadable(hash) => write!(f, "object {hash} cannot be decoded"),
-            Bad::WrongVersion { offered, found } => {
+            InvalidVersion::Unreadable(hash) => write!(f, "object {hash} cannot be decoded"),
+            InvalidVersion::WrongVersion { offered, found } => {
                 write!(f, "offered as version {offered}, its root says {found}")
             }
-            Bad::Invalid(invalid) => write!(f, "{invalid}"),
-            Bad::TooLarge { id, bytes } => write!(f, "configuration {id:?} has {bytes} bytes"),
+            InvalidVersion::Invalid(invalid) => write!(f, "{invalid}"),
+            InvalidVersion::TooLarge { id, bytes } => {
+                write!(f, "configuration {id:?} has {bytes} bytes")
+            }
         }
     }
 }
 
-impl std::error::Error for Bad {}
+impl std::error::Error for InvalidVersion {}
 
 /// Returns what is missing of a version, or its table.
 ///
 /// # Errors
 ///
-/// Returns [`Bad`] where the version must not be run by this proxy.
-pub fn next(
+/// Returns [`InvalidVersion`] where the version must not be run by this proxy.
+pub fn next_step(
     store: &Store,
     version: Version,
     root_hash: ObjectHash,
     proxy: &Proxy,
     scope: Scope,
-) -> Result<Next, Bad> {
-    let Some(buf) = store.get(root_hash) else { return Ok(Next::Fetch(vec![root_hash])) };
-    let root: Root = manifest::decode(&buf).ok_or(Bad::Unreadable(root_hash))?;
+) -> Result<StagingStep, InvalidVersion> {
+    let Some(buf) = store.get(root_hash) else { return Ok(StagingStep::Fetch(vec![root_hash])) };
+    let root: Root = manifest::decode(&buf).ok_or(InvalidVersion::Unreadable(root_hash))?;
     if root.version != version {
-        return Err(Bad::WrongVersion { offered: version, found: root.version });
+        return Err(InvalidVersion::WrongVersion { offered: version, found: root.version });
     }
     let pages = match scope {
         Scope::Selected => root.pages_for(&proxy.host),
-        Scope::Whole => root.all_pages(),
+        Scope::Complete => root.all_pages(),
     };
     let missing = store.missing(&pages);
     if !missing.is_empty() {
-        return Ok(Next::Fetch(missing));
+        return Ok(StagingStep::Fetch(missing));
     }
     let entries = read_entries(store, &root)?;
     let chosen = read_selection(store, &root, proxy, &entries)?;
     let wanted: Vec<ObjectHash> = match scope {
         Scope::Selected => chosen.iter().map(|entry| entry.hash).collect(),
-        Scope::Whole => entries.iter().map(|entry| entry.hash).collect(),
+        Scope::Complete => entries.iter().map(|entry| entry.hash).collect(),
     };
     if let Some(entry) = entries.iter().find(|entry| entry.bytes as usize > MAX_CONFIG_BYTES) {
-        return Err(Bad::TooLarge { id: entry.id.clone(), bytes: entry.bytes });
+        return Err(InvalidVersion::TooLarge { id: entry.id.clone(), bytes: entry.bytes });
     }
     let missing = store.missing(&wanted);
     if !missing.is_empty() {
-        return Ok(Next::Fetch(missing));
+        return Ok(StagingStep::Fetch(missing));
     }
-    if scope == Scope::Whole {
+    if scope == Scope::Complete {
         check_all(store, &entries)?;
     }
     let configs =
         chosen.iter().map(|entry| read_config(store, entry)).collect::<Result<Vec<_>, _>>()?;
-    let table = RoutingTable::compile(version, configs).map_err(Bad::Invalid)?;
+    let table = RoutingTable::compile(version, configs).map_err(InvalidVersion::Invalid)?;
     let objects = pages.into_iter().chain(wanted).chain([root_hash]).collect();
     let selected = chosen.iter().map(|entry| entry.id.clone()).collect();
-    Ok(Next::Ready(Box::new(Staged { table, selected, objects })))
+    Ok(StagingStep::Ready(Box::new(Staged { table, selected, objects })))
 }
 
-fn read_entries(store: &Store, root: &Root) -> Result<Vec<ConfigEntry>, Bad> {
+fn read_entries(store: &Store, root: &Root) -> Result<Vec<ConfigEntry>, InvalidVersion> {
     let mut entries = Vec::new();
     for hash in root.configs {
         let page: ConfigPage = read(store, hash)?;
@@ -134,7 +136,7 @@
     root: &Root,
     proxy: &Proxy,
     entries: &'a [ConfigEntry],
-) -> Result<Vec<&'a ConfigEntry>, Bad> {
+) -> Result<Vec<&'a ConfigEntry>, InvalidVersion> {
     let labels: LabelPage = read(store, root.label_page(&proxy.host))?;
     let selectors: SelectorPage = read(store, root.selectors)?;
     let proxy = proxy.with_labels(labels.get(&proxy.host));
@@ -146,15 +148,18 @@
     Ok(chosen)
 }
 
-fn check_all(store: &Store, entries: &[ConfigEntry]) -> Result<(), Bad> {
+fn check_all(store: &Store, entries: &[ConfigEntry]) -> Result<(), InvalidVersion> {
     entries.iter().try_for_each(|entry| read_config(store, entry).map(drop))
 }
 
-fn read_config(store: &Store, entry: &ConfigEntry) -> Result<Config, Bad> {
-    let buf = store.get(entry.hash).ok_or(Bad::Unreadable(entry.hash))?;
-    Config::parse(&buf).map_err(Bad::Invalid)
+fn read_config(store: &Store, entry: &ConfigEntry) -> Result<Config, InvalidVersion> {
+    let buf = store.get(entry.hash).ok_or(InvalidVersion::Unreadable(entry.hash))?;
+    Config::parse(&buf).map_err(InvalidVersion::Invalid)
 }
 
-fn read<T: for<'de> serde::Deserialize<'de>>(store: &Store, hash: ObjectHash) -> Result<T, Bad> {
-    store.get(hash).and_then(|buf| manifest::decode(&buf)).ok_or(Bad::Unreadable(hash))
+fn read<T: for<'de> serde::Deserialize<'de>>(
+    store: &Store,
+    hash: ObjectHash,
+) -> Result<T, InvalidVersion> {
+    store.get(hash).and_then(|buf| manifest::decode(&buf)).ok_or(InvalidVersion::Unreadable(hash))
 }
--- a/crates/core/src/delivery/store.rs
+++ b/crates/core/src/delivery/store.rs
@@ -10,25 +10,25 @@
 
 /// Why bytes are not taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejected {
+pub enum ObjectError {
     /// The bytes do not have the name they came under: corrupt or truncated.
     Mismatch { wanted: ObjectHash, got: ObjectHash },
     /// More than [`MAX_OBJECT_BYTES`].
     TooLarge(usize),
 }
 
-impl fmt::Display for Rejected {
+impl fmt::Display for ObjectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejected::Mismatch { wanted, got } => {
+            ObjectError::Mismatch { wanted, got } => {
                 write!(f, "object {wanted} arrived as {got}: corrupt or truncated")
             }
-            Rejected::TooLarge(len) => write!(f, "object of {len} bytes is over the limit"),
+            ObjectError::TooLarge(len) => write!(f, "object of {len} bytes is over the limit"),
         }
     }
 }
 
-impl std::error::Error for Rejected {}
+impl std::error::Error for ObjectError {}
 
 /// Objects by name.
 #[derive(Clone, Debug, Default)]
@@ -41,15 +41,15 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Rejected`] and keeps nothing where the bytes cannot be the
+    /// Returns [`ObjectError`] and keeps nothing where the bytes cannot be the
     /// object.
-    pub fn put(&mut self, wanted: ObjectHash, buf: Vec<u8>) -> Result<(), Rejected> {
+    pub fn put(&mut self, wanted: ObjectHash, buf: Vec<u8>) -> Result<(), ObjectError> {
         if buf.len() > MAX_OBJECT_BYTES {
-            return Err(Rejected::TooLarge(buf.len()));
+            return Err(ObjectError::TooLarge(buf.len()));
         }
         let got = ObjectHash::of(&buf);
         if got != wanted {
-            return Err(Rejected::Mismatch { wanted, got });
+            return Err(ObjectError::Mismatch { wanted, got });
         }
         self.objects.insert(wanted, Arc::new(buf));
         Ok(())
--- a/crates/core/src/delivery/witness.rs
+++ b/crates/core/src/delivery/witness.rs
@@ -6,17 +6,17 @@
 
 /// The witnesses of one failure domain, the same in every daemon's settings.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Panel {
+pub struct WitnessSet {
     hosts: Vec<HostKey>,
 }
 
-impl Panel {
+impl WitnessSet {
     /// Makes a panel; order and repetition do not matter.
-    pub fn new(hosts: impl IntoIterator<Item = HostKey>) -> Panel {
+    pub fn new(hosts: impl IntoIterator<Item = HostKey>) -> WitnessSet {
         let mut hosts: Vec<_> = hosts.into_iter().collect();
         hosts.sort_unstable();
         hosts.dedup();
-        Panel { hosts }
+        WitnessSet { hosts }
     }
 
     /// Returns the witnesses, sorted.
@@ -68,19 +68,19 @@
     /// Returns the highest version that a majority of the panel promised.
     ///
     /// A promise of a life that another testimony knows to be over does not
-    /// count when `check_lives` is set. Failure: a witness promises, dies, comes
+    /// count when `check_incarnations` is set. Failure: a witness promises, dies, comes
     /// back empty and learns an older bound; its late promise is then counted
     /// although it no longer names the version. Symptom: a proxy runs a version
     /// that a majority of witnesses has never heard of, and goes back after its
     /// next restart. The guard is enough because the majority that the witness
     /// asked on its return remembers its new life, and every majority shares a
     /// member with that one.
-    pub fn active(&self, panel: &Panel, check_lives: bool) -> Version {
+    pub fn active(&self, panel: &WitnessSet, check_incarnations: bool) -> Version {
         let mut promised: Vec<Version> = self
             .by_witness
             .values()
             .filter(|t| panel.contains(t.witness))
-            .filter(|t| !check_lives || !self.is_over(t))
+            .filter(|t| !check_incarnations || !self.is_over(t))
             .map(|t| t.promised)
             .collect();
         promised.sort_unstable_by(|a, b| b.cmp(a));
@@ -92,7 +92,7 @@
     /// What those testimonies know of lives is not needed: in any majority that
     /// counts for a version, some member answered the new life before it
     /// promised, and brings that knowledge itself.
-    pub fn forget(&mut self, active: Version) {
+    pub fn prune(&mut self, active: Version) {
         self.by_witness.retain(|_, t| t.promised > active);
     }
 
--- a/crates/core/tests/scenarios/delivery.rs
+++ b/crates/core/tests/scenarios/delivery.rs
@@ -3,7 +3,7 @@
 
 use super::{arg, list, number};
 use cicadashift_core::delivery::node::{Action, Event, Guards, Node};
-use cicadashift_core::delivery::witness::{Panel, Testimony};
+use cicadashift_core::delivery::witness::{Testimony, WitnessSet};
 use cicadashift_core::ids::{HostKey, Version};
 use datadriven::TestCase;
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,8 +37,10 @@
         "crash" => hosts.iter().for_each(|host| world.crash(host)),
         "crash-with-clock-back" => hosts.iter().for_each(|host| world.crash_back(host)),
         "read" => hosts.iter().for_each(|host| world.read(host)),
-        "hold" => hosts.iter().for_each(|host| world.event(host, Event::Held(version))),
-        "promise" => hosts.iter().for_each(|host| world.event(host, Event::PromiseAsked(version))),
+        "hold" => hosts.iter().for_each(|host| world.event(host, Event::Staged(version))),
+        "promise" => {
+            hosts.iter().for_each(|host| world.event(host, Event::PromiseRequested(version)))
+        }
         "activate" => hosts.iter().for_each(|host| world.event(host, Event::Activated(version))),
         "ask" => hosts.iter().for_each(|host| world.ask_all(host)),
         "roll-out" => world.roll_out(version),
@@ -55,7 +57,7 @@
             "floor" => guards.floor_before_run = false,
             "majority" => guards.majority_before_run = false,
             "silence" => guards.silent_while_fresh = false,
-            "lives" => guards.check_lives = false,
+            "lives" => guards.check_incarnations = false,
             "matching" => guards.match_answers = false,
             _ => {}
         }
@@ -67,7 +69,7 @@
     }
 
     fn fresh(&mut self, name: &str, life: u64) {
-        let panel = Panel::new(self.names.iter().map(|name| HostKey::of(name)));
+        let panel = WitnessSet::new(self.names.iter().map(|name| HostKey::of(name)));
         let guards = self.guards.unwrap_or(Guards::ALL);
         self.nodes.insert(name.to_string(), Node::new(HostKey::of(name), life, panel, guards));
         self.lives.insert(name.to_string(), life);
@@ -95,20 +97,21 @@
     fn roll_out(&mut self, version: Version) {
         let reached: Vec<String> = self.reached();
         for name in &reached {
-            self.event(name, Event::Held(version));
+            self.event(name, Event::Staged(version));
         }
         for name in &reached {
-            self.event(name, Event::PromiseAsked(version));
+            self.event(name, Event::PromiseRequested(version));
         }
     }
 
     fn ask_all(&mut self, from: &str) {
-        let ask = Event::FloorAsked { from: HostKey::of(from), life: self.nodes[from].life() };
+        let ask =
+            Event::FloorRequested { from: HostKey::of(from), life: self.nodes[from].incarnation() };
         for to in self.reached().into_iter().filter(|to| to != from) {
             let Some(node) = self.nodes.get_mut(&to) else { continue };
             for action in node.on(ask.clone()) {
                 match action {
-                    Action::Testify(said) => self.event(from, Event::Testified(said)),
+                    Action::SendTestimony(said) => self.event(from, Event::TestimonyReceived(said)),
                     Action::Decline => self.log.push(format!("{to} cannot speak")),
                     other => self.act(&to, other),
                 }
@@ -126,12 +129,12 @@
     fn act(&mut self, name: &str, action: Action) {
         match action {
             Action::Run(version) => self.ran(name, version),
-            Action::Testify(said) => self.tell(name, &said),
-            Action::AskPromises(version) => {
+            Action::SendTestimony(said) => self.tell(name, &said),
+            Action::RequestPromises(version) => {
                 self.log.push(format!("{name} asks for promises of {version}"));
                 for to in self.reached() {
-                    self.event(&to, Event::Held(version));
-                    self.event(&to, Event::PromiseAsked(version));
+                    self.event(&to, Event::Staged(version));
+                    self.event(&to, Event::PromiseRequested(version));
                 }
             }
             Action::Stage(version) => self.log.push(format!("{name} fetches {version}")),
@@ -144,7 +147,7 @@
             return;
         }
         for to in self.reached() {
-            self.event(&to, Event::Testified(said.clone()));
+            self.event(&to, Event::TestimonyReceived(said.clone()));
         }
     }
 
--- a/spec/src/head.rs
+++ b/spec/src/head.rs
@@ -1,10 +1,10 @@
 //! The order of versions: racing operators, and answers that are lost.
 //!
-//! Clients use the real [`settle`] and [`Head::successor`]; the platform is its
+//! Clients use the real [`resolve_outcome`] and [`Head::successor`]; the platform is its
 //! published contract: a compare-and-swap takes effect or not, and its answer may
 //! be lost either way.
 
-use cicadashift_core::delivery::head::{Head, Settled, settle};
+use cicadashift_core::delivery::head::{Head, OperationOutcome, resolve_outcome};
 use cicadashift_core::ids::{ObjectHash, Version};
 
 /// Safeguards that the exploration can take out.
@@ -105,12 +105,12 @@
         let head = real(&self.head);
         let base_version = base.unwrap_or(head.version);
         let settled = match (base, self.guards.settle_by_id) {
-            (Some(base), true) => settle(&head, &id(i), base),
-            _ => Ok(Settled::Retry),
+            (Some(base), true) => resolve_outcome(&head, &id(i), base),
+            _ => Ok(OperationOutcome::Retry),
         };
         next.clients[i] = match settled {
-            Ok(Settled::Done(_)) => Client::Done,
-            Ok(Settled::Retry) => Client::Ready {
+            Ok(OperationOutcome::Done(_)) => Client::Done,
+            Ok(OperationOutcome::Retry) => Client::Ready {
                 base: base_version,
                 revision: self.revision,
                 head: self.head.clone(),
--- a/spec/src/lib.rs
+++ b/spec/src/lib.rs
@@ -34,7 +34,7 @@
 //! [`head`] explores the other half: the total order of versions.
 
 use cicadashift_core::delivery::node::{Action, Event, Guards, Node};
-use cicadashift_core::delivery::witness::{Panel, Testimonies, Testimony};
+use cicadashift_core::delivery::witness::{Testimonies, Testimony, WitnessSet};
 use cicadashift_core::ids::{HostKey, Incarnation, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -161,8 +161,8 @@
         };
         for i in 0..size.hosts {
             world.event(i, Event::HeadRead(1));
-            world.event(i, Event::Held(1));
-            world.event(i, Event::PromiseAsked(1));
+            world.event(i, Event::Staged(1));
+            world.event(i, Event::PromiseRequested(1));
             world.event(i, Event::Activated(1));
         }
         world.promises = Rc::default();
@@ -214,7 +214,7 @@
             steps.extend((0..self.answers.len()).map(|n| Step::Hear(i, n)));
         }
         if self.size.lazy {
-            let versions = (1..=self.head).filter(|version| *version > node.held());
+            let versions = (1..=self.head).filter(|version| *version > node.newest_staged());
             steps.extend(versions.map(|version| Step::Hold(i, version)));
         }
         let versions = (1..=self.head).filter(|version| *version > node.promised());
@@ -233,12 +233,12 @@
                 (0..self.size.hosts).for_each(|i| self.hold_all(i));
             }
             Step::ReadHead(i) => self.event(i, Event::HeadRead(self.head)),
-            Step::AskPromise(i, version) => self.event(i, Event::PromiseAsked(version)),
-            Step::Hold(i, version) => self.event(i, Event::Held(version)),
+            Step::AskPromise(i, version) => self.event(i, Event::PromiseRequested(version)),
+            Step::Hold(i, version) => self.event(i, Event::Staged(version)),
             Step::AskFloor { from, to } => self.ask_floor(from, to),
             Step::Hear(i, n) => {
                 if let Some(said) = self.answers.iter().nth(n).map(Testimony::from) {
-                    self.event(i, Event::Testified(said));
+                    self.event(i, Event::TestimonyReceived(said));
                 }
             }
             Step::Count(a, b) => self.count(a, b),
@@ -249,12 +249,12 @@
 
     fn ask_floor(&mut self, from: u64, to: u64) {
         let life = self.lives[from as usize];
-        let ask = Event::FloorAsked { from: HostKey(from), life };
+        let ask = Event::FloorRequested { from: HostKey(from), life };
         let actions = Rc::make_mut(&mut self.nodes[to as usize]).on(ask);
         for action in actions {
-            if let Action::Testify(said) = action {
+            if let Action::SendTestimony(said) = action {
                 self.hear(said.clone().into());
-                self.event(from, Event::Testified(said));
+                self.event(from, Event::TestimonyReceived(said));
             }
         }
     }
@@ -266,7 +266,7 @@
                 known.add(Testimony::from(said));
             }
         }
-        let active = known.active(&panel(self.size), self.guards.check_lives);
+        let active = known.active(&panel(self.size), self.guards.check_incarnations);
         if active > 0 {
             self.active.insert(active);
         }
@@ -282,7 +282,7 @@
 
     fn hold_all(&mut self, i: u64) {
         if !self.size.lazy {
-            (1..=self.head).for_each(|version| self.event(i, Event::Held(version)));
+            (1..=self.head).for_each(|version| self.event(i, Event::Staged(version)));
         }
     }
 
@@ -290,17 +290,17 @@
         let slot = i as usize;
         for action in Rc::make_mut(&mut self.nodes[slot]).on(event) {
             match action {
-                Action::Testify(testimony) => self.hear(testimony.into()),
+                Action::SendTestimony(testimony) => self.hear(testimony.into()),
                 Action::Run(version) => self.check_run(i, version),
                 // What these ask for may happen at any time in any case.
-                Action::Stage(_) | Action::AskPromises(_) | Action::Decline => {}
+                Action::Stage(_) | Action::RequestPromises(_) | Action::Decline => {}
             }
         }
         let node = &self.nodes[slot];
         if node.active() > 0 {
             self.active.insert(node.active());
         }
-        if node.promised() > node.held().max(node.running()) {
+        if node.promised() > node.newest_staged().max(node.running()) {
             self.broken = Some(Broken::PromisedWithoutHolding { host: i });
         }
     }
@@ -382,8 +382,8 @@
     named.collect()
 }
 
-fn panel(size: Size) -> Panel {
-    Panel::new((0..size.hosts).map(HostKey))
+fn panel(size: Size) -> WitnessSet {
+    WitnessSet::new((0..size.hosts).map(HostKey))
 }
 
 fn fresh(size: Size, guards: Guards, i: u64, life: Incarnation) -> Node {
--- a/spec/tests/floor.rs
+++ b/spec/tests/floor.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_promise_of_an_earlier_life_misleads() {
-    let guards = Guards { check_lives: false, ..Guards::ALL };
+    let guards = Guards { check_incarnations: false, ..Guards::ALL };
     insta::assert_snapshot!(story(TWO_CRASHES, guards));
 }
 
@@ -78,6 +78,6 @@
 
 #[test]
 fn a_promise_without_the_objects_helps_nobody() {
-    let guards = Guards { hold_before_promise: false, ..Guards::ALL };
+    let guards = Guards { stage_before_promise: false, ..Guards::ALL };
     insta::assert_snapshot!(story(LAZY, guards));
 }
--- a/src/daemon/catch_up.rs
+++ b/src/daemon/catch_up.rs
@@ -56,7 +56,7 @@
 }
 
 /// Notes that a member knows a higher active version, and fetches it.
-pub async fn behind(d: &Arc<Daemon>, from: HostKey) {
+pub async fn fetch_active_version(d: &Arc<Daemon>, from: HostKey) {
     let Some(to) = d.members.address(from) else { return };
     if let Some(what) = active_version_of(d, to).await {
         take(d, what, to).await;
@@ -90,7 +90,7 @@
 }
 
 /// Answers a comparison of tables.
-pub fn compared(d: &Daemon, outline: &[(HostKey, u64)]) -> Response {
+pub fn on_sync(d: &Daemon, outline: &[(HostKey, u64)]) -> Response {
     let Comparison { records, wanted } = d.members.compare(outline);
     let (active, catalog) = (d.versions.active_version(), d.members.catalog());
     Response::Compared { records, wanted, active, catalog }
--- a/src/daemon/gossip.rs
+++ b/src/daemon/gossip.rs
@@ -179,7 +179,7 @@
         let d = d.clone();
         exec::spawn(async move {
             match d.settings.interface {
-                InterfaceKind::Own => catch_up::behind(&d, host).await,
+                InterfaceKind::Own => catch_up::fetch_active_version(&d, host).await,
                 InterfaceKind::Platform => {
                     source::update_from_member(&d, host, active, follows).await
                 }
--- a/src/daemon/mesh.rs
+++ b/src/daemon/mesh.rs
@@ -52,13 +52,15 @@
         }
         Ask::Activate { what, rest } => promotion::on_activate(d, what, rest).await,
         Ask::Fetch { hashes } => stage::on_fetch(d, &hashes),
-        Ask::Promise { version } => Response::Testimony(testify(d, Event::PromiseAsked(version))),
+        Ask::Promise { version } => {
+            Response::Testimony(testify(d, Event::PromiseRequested(version)))
+        }
         Ask::Floor { host, life } => {
-            Response::Testimony(testify(d, Event::FloorAsked { from: host, life }))
+            Response::Testimony(testify(d, Event::FloorRequested { from: host, life }))
         }
         Ask::Sync { outline, records } => {
             d.members.apply(d, records);
-            catch_up::compared(d, &outline)
+            catch_up::on_sync(d, &outline)
         }
         Ask::Tell { records } => {
             d.members.apply(d, records);
@@ -89,7 +91,7 @@
 fn testify(d: &Arc<Daemon>, event: Event) -> Option<Testimony> {
     let actions = d.versions.on(event);
     let testimony = actions.iter().find_map(|action| match action {
-        Action::Testify(testimony) => Some(testimony.clone()),
+        Action::SendTestimony(testimony) => Some(testimony.clone()),
         _ => None,
     });
     stage::perform(d, actions, None);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -153,7 +153,7 @@
     /// Shaping of the host's link, where the settings name its capacity.
     pub link: Option<Mutex<Link>>,
     /// The delivery record.
-    pub delivery_record: record::Record,
+    pub delivery_record: record::DeliveryRecord,
     /// State of the reader of this failure domain.
     pub reader: reader::State,
     /// State of the exchange with other failure domains.
@@ -387,7 +387,7 @@
             services: services::Services::new(settings.choice),
             gates: gates::Gates::new(),
             link: settings.link_mbps.map(|mbps| Mutex::new(Link::new(mbps))),
-            delivery_record: record::Record::new(),
+            delivery_record: record::DeliveryRecord::new(),
             reader: reader::State::default(),
             gateway: gateway::State::default(),
             leaving: AtomicBool::new(false),
--- a/src/daemon/promotion.rs
+++ b/src/daemon/promotion.rs
@@ -36,7 +36,7 @@
     source: &ObjectSource,
 ) -> Result<(), StageError> {
     let mut draft = RowDraft::new(d, what);
-    stage::hold(d, what, source, Scope::Whole).await?;
+    stage::hold(d, what, source, Scope::Complete).await?;
     let mut others = d.members.others();
     tree::order(&mut others, what.version);
     log::info!("version {}: offered to {} members", what.version, others.len());
@@ -54,7 +54,7 @@
     draft.staged(d, &others, &promotion);
     match promotion.step(d.clock.now()) {
         Step::Withhold => withhold(d, what.version, &promotion),
-        Step::AskPromises | Step::WaitUntil(_) => {
+        Step::RequestPromises | Step::WaitUntil(_) => {
             if promised(d, what.version).await {
                 activate(d, what, &others, &mut draft).await;
             }
@@ -97,7 +97,7 @@
     let source = ObjectSource::Peers(d.members.address(origin).into_iter().collect());
     match stage::hold(d, what, &source, Scope::Selected).await {
         Ok(()) => Fate::Done,
-        Err(err) if err.is_bad() => Fate::Refused(err.to_string()),
+        Err(err) if err.is_invalid() => Fate::Refused(err.to_string()),
         Err(_) => Fate::Late,
     }
 }
--- a/src/daemon/reader.rs
+++ b/src/daemon/reader.rs
@@ -248,7 +248,7 @@
         }
         if let Err(err) = promotion::run(d, what, &ObjectSource::Platform).await {
             log::error!("version {} is not offered: {err}", what.version);
-            if !err.is_bad() {
+            if !err.is_invalid() {
                 continue;
             }
         }
--- a/src/daemon/record.rs
+++ b/src/daemon/record.rs
@@ -34,7 +34,7 @@
 
 /// Rows that this daemon holds.
 #[derive(Default)]
-pub struct Record {
+pub struct DeliveryRecord {
     inner: Mutex<Inner>,
 }
 
@@ -86,10 +86,10 @@
     }
 }
 
-impl Record {
+impl DeliveryRecord {
     /// Makes an empty record.
-    pub fn new() -> Record {
-        Record::default()
+    pub fn new() -> DeliveryRecord {
+        DeliveryRecord::default()
     }
 
     /// Keeps a finished row and hands copies out.
--- a/src/daemon/stage.rs
+++ b/src/daemon/stage.rs
@@ -5,8 +5,8 @@
 use super::{Daemon, peers, versions::Versions};
 use crate::store::{Platform, PlatformError, keys};
 use cicadashift_core::delivery::node::{Action, Event};
-use cicadashift_core::delivery::stage::{Bad, Next, Scope, Staged};
-use cicadashift_core::delivery::store::Rejected;
+use cicadashift_core::delivery::stage::{InvalidVersion, Scope, Staged, StagingStep};
+use cicadashift_core::delivery::store::ObjectError;
 use cicadashift_core::ids::{HostKey, ObjectHash, Version};
 use cicadashift_http::exec;
 use cicadashift_wire::rpc::{Request as Ask, Response, VersionRef};
@@ -33,9 +33,9 @@
 #[derive(Debug)]
 pub enum StageError {
     /// It must not be run here.
-    Bad(Bad),
+    Invalid(InvalidVersion),
     /// The bytes that came are not the object.
-    Rejected(Rejected),
+    Object(ObjectError),
     /// No source had these objects.
     Missing(Vec<ObjectHash>),
     /// The platform did not answer.
@@ -47,8 +47,8 @@
 impl fmt::Display for StageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StageError::Bad(bad) => write!(f, "{bad}"),
-            StageError::Rejected(rejected) => write!(f, "{rejected}"),
+            StageError::Invalid(bad) => write!(f, "{bad}"),
+            StageError::Object(rejected) => write!(f, "{rejected}"),
             StageError::Missing(hashes) => write!(f, "{} objects are not to be had", hashes.len()),
             StageError::Platform(err) => write!(f, "{err}"),
             StageError::AwaitsService(service) => write!(f, "waits for service {service:?}"),
@@ -60,8 +60,8 @@
 
 impl StageError {
     /// Returns whether the version itself is at fault, whoever asks.
-    pub fn is_bad(&self) -> bool {
-        matches!(self, StageError::Bad(_) | StageError::Rejected(_))
+    pub fn is_invalid(&self) -> bool {
+        matches!(self, StageError::Invalid(_) | StageError::Object(_))
     }
 }
 
@@ -89,7 +89,7 @@
             StageError::AwaitsService(_) => {
                 d.versions.mark_waiting(what.version, err.to_string());
             }
-            err if err.is_bad() => {
+            err if err.is_invalid() => {
                 log::error!("version {} is bad and is not run: {err}", what.version);
                 d.versions.mark_rejected(what.version, err.to_string());
             }
@@ -108,11 +108,11 @@
                 d.metrics.gauge("version.running", version);
             }
             Action::Stage(version) => stage_later(d, version, source.cloned()),
-            Action::AskPromises(version) => {
+            Action::RequestPromises(version) => {
                 let d = d.clone();
                 exec::spawn(async move { ask_promises(&d, version).await }).detach();
             }
-            Action::Testify(_) | Action::Decline => {}
+            Action::SendTestimony(_) | Action::Decline => {}
         }
     }
 }
@@ -146,7 +146,7 @@
 async fn ask_witnesses(d: &Arc<Daemon>, ask: Ask) {
     if let Ask::Promise { version } = ask {
         // The daemon's own promise, where it is a witness, needs no message.
-        let actions = d.versions.on(Event::PromiseAsked(version));
+        let actions = d.versions.on(Event::PromiseRequested(version));
         perform(d, actions, None);
     }
     let tasks: Vec<_> = d
@@ -162,7 +162,7 @@
                 if let Ok(Response::Testimony(Some(said))) =
                     peers::ask(&d, to, &ask, FETCH_TIME).await
                 {
-                    let actions = d.versions.on(Event::Testified(said));
+                    let actions = d.versions.on(Event::TestimonyReceived(said));
                     perform(&d, actions, Some(&ObjectSource::Peers(vec![to])));
                 }
             })
@@ -198,9 +198,9 @@
     let proxy = d.settings.proxy();
     let mut missing = Vec::new();
     for _ in 0..MAX_ROUNDS {
-        match d.versions.next_staging_step(what, &proxy, scope).map_err(StageError::Bad)? {
-            Next::Ready(staged) => return Ok(*staged),
-            Next::Fetch(hashes) => {
+        match d.versions.next_staging_step(what, &proxy, scope).map_err(StageError::Invalid)? {
+            StagingStep::Ready(staged) => return Ok(*staged),
+            StagingStep::Fetch(hashes) => {
                 match source {
                     ObjectSource::Platform => from_platform(d, &hashes).await?,
                     ObjectSource::Peers(peers) => from_peers(d, peers, &hashes).await?,
@@ -220,7 +220,7 @@
             let hash = pair.key.strip_prefix(keys::OBJECTS).and_then(ObjectHash::from_hex);
             d.costs.add(Purpose::Control, false, pair.value.len());
             if let Some(hash) = hash {
-                d.versions.put_object(hash, pair.value).map_err(StageError::Rejected)?;
+                d.versions.put_object(hash, pair.value).map_err(StageError::Object)?;
             }
         }
     }
--- a/src/daemon/versions.rs
+++ b/src/daemon/versions.rs
@@ -8,9 +8,9 @@
 use cicadashift_core::config::compile::RoutingTable;
 use cicadashift_core::config::manifest::{self, Root};
 use cicadashift_core::delivery::node::{Action, Event, Guards, Node};
-use cicadashift_core::delivery::stage::{self, Bad, Next, Scope, Staged};
-use cicadashift_core::delivery::store::{Rejected, Store};
-use cicadashift_core::delivery::witness::Panel;
+use cicadashift_core::delivery::stage::{self, InvalidVersion, Scope, Staged, StagingStep};
+use cicadashift_core::delivery::store::{ObjectError, Store};
+use cicadashift_core::delivery::witness::WitnessSet;
 use cicadashift_core::ids::{HostKey, Incarnation, ObjectHash, Version};
 use cicadashift_edge::store::Revision;
 use cicadashift_wire::rpc::{News, VersionRef};
@@ -91,7 +91,7 @@
         life: Incarnation,
         clock: Arc<dyn Clock>,
     ) -> Versions {
-        let panel = Panel::new(settings.witnesses.iter().map(|name| HostKey::of(name)));
+        let panel = WitnessSet::new(settings.witnesses.iter().map(|name| HostKey::of(name)));
         let inner = Inner {
             node: Node::new(me, life, panel, Guards::ALL),
             store: Store::default(),
@@ -189,7 +189,7 @@
 
     /// Returns the incarnation that this daemon's questions to witnesses carry.
     pub fn incarnation(&self) -> Incarnation {
-        lock(&self.inner).node.life()
+        lock(&self.inner).node.incarnation()
     }
 
     /// Returns the version in force, zero before the first.
@@ -208,15 +208,15 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Bad`] where the version must not be run here.
+    /// Returns [`InvalidVersion`] where the version must not be run here.
     pub fn next_staging_step(
         &self,
         version_ref: VersionRef,
         proxy: &cicadashift_core::config::select::Proxy,
         scope: Scope,
-    ) -> Result<Next, Bad> {
+    ) -> Result<StagingStep, InvalidVersion> {
         let inner = lock(&self.inner);
-        stage::next(&inner.store, version_ref.version, version_ref.root, proxy, scope)
+        stage::next_step(&inner.store, version_ref.version, version_ref.root, proxy, scope)
     }
 
     /// Returns every object of a version, if it is the newest one held completely.
@@ -232,8 +232,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Rejected`] if the bytes are not the object that the hash names.
-    pub fn put_object(&self, hash: ObjectHash, buf: Vec<u8>) -> Result<(), Rejected> {
+    /// Returns [`ObjectError`] if the bytes are not the object that the hash names.
+    pub fn put_object(&self, hash: ObjectHash, buf: Vec<u8>) -> Result<(), ObjectError> {
         lock(&self.inner).store.put(hash, buf)
     }
 
@@ -283,7 +283,7 @@
             inner.refs.insert(version_ref.version, version_ref);
             inner.objects.insert(version_ref.version, staged.objects.clone());
             inner.waiting.remove(&version_ref.version);
-            if scope == Scope::Whole {
+            if scope == Scope::Complete {
                 inner.newest_complete = inner.newest_complete.max(version_ref.version);
             }
             if version_ref.version > inner.node.running() {
@@ -291,7 +291,7 @@
             }
             inner.drop_unreferenced();
         }
-        self.on(Event::Held(version_ref.version))
+        self.on(Event::Staged(version_ref.version))
     }
 
     /// Remembers why a version is rejected.
@@ -317,7 +317,7 @@
         Summary {
             running: document.max(inner.node.running()),
             active: document.max(inner.node.active()),
-            held: document.max(inner.node.held()),
+            held: document.max(inner.node.newest_staged()),
             floor: inner.node.floor(),
             newest: inner.refs.last_key_value().map_or(0, |(version, _)| *version),
             rejected: inner.rejected.clone(),
--- a/src/operator/change.rs
+++ b/src/operator/change.rs
@@ -7,7 +7,7 @@
     self, ConfigEntry, ConfigPage, LabelPage, Manifest, Object, Root, SelectorPage,
 };
 use cicadashift_core::config::{Config, Invalid};
-use cicadashift_core::delivery::head::{Head, Operation, Settled, settle};
+use cicadashift_core::delivery::head::{Head, Operation, OperationOutcome, resolve_outcome};
 use cicadashift_core::ids::{ObjectHash, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -128,7 +128,7 @@
 /// # Errors
 ///
 /// Returns [`OperatorError`]. After `Refused` and `Invalid` nothing has changed.
-/// Only [`cicadashift_core::delivery::head::Refused::Unsettled`] and a platform
+/// Only [`cicadashift_core::delivery::head::Refused::OutcomeUnknown`] and a platform
 /// whose answers stay lost leave that open, and say so.
 pub async fn commit(
     platform: &impl Platform,
@@ -144,9 +144,9 @@
             let pause = PAUSE * 2_u32.pow(attempt.min(5));
             smol::Timer::after(pause.mul_f64(fastrand::f64())).await;
             now = snapshot_patiently(platform).await?;
-            match settle(&now.head, &op_id, base.head.version)? {
-                Settled::Done(version) => return Ok(version),
-                Settled::Retry => refuse_if_raced(op, &base, &now)?,
+            match resolve_outcome(&now.head, &op_id, base.head.version)? {
+                OperationOutcome::Done(version) => return Ok(version),
+                OperationOutcome::Retry => refuse_if_raced(op, &base, &now)?,
             }
         }
         match attempt_once(platform, op, &extra, &now, &op_id, wall_ms).await {
@@ -213,8 +213,8 @@
 }
 
 fn refuse_if_raced(op: &Operation, base: &Snapshot, now: &Snapshot) -> Result<(), OperatorError> {
-    if op.touches_difference(&base.manifest, &now.manifest) {
-        return Err(OperatorError::Refused(cicadashift_core::delivery::head::Refused::Raced {
+    if op.subject_differs(&base.manifest, &now.manifest) {
+        return Err(OperatorError::Refused(cicadashift_core::delivery::head::Refused::Conflict {
             what: op.subject(),
             since: base.head.version,
             now: now.head.version,
