--- a/crates/core/src/delivery/garbage.rs
+++ b/crates/core/src/delivery/garbage.rs
@@ -1,46 +1,47 @@
-//! Which objects of the platform nobody needs any more.
+//! Garbage collection of objects on the platform.
 //!
-//! An accept writes objects before the head. One that breaks off, or a version
-//! that was followed by others, leaves objects that nothing names. They are
-//! deleted by age: a client that is in the middle of an accept has its objects
-//! written, but not yet named, for seconds at the most.
+//! An accept writes its objects before it swaps the head. An accept that is
+//! interrupted, and a version that newer ones have replaced, leave objects that
+//! no manifest references. Only objects that have been unreferenced for
+//! [`MIN_AGE`] are deleted, because the objects of an accept in progress are
+//! unreferenced too, for a few seconds at most.
 
 use crate::ids::{ObjectHash, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// How long an object must have been unnamed and unchanged.
+/// How long an object must have been unreferenced and unchanged before it is deleted.
 pub const MIN_AGE: Duration = Duration::from_secs(600);
 
-/// Most objects deleted in one round, so that the platform is not burdened.
-pub const MOST_PER_ROUND: usize = 64;
+/// Maximum number of objects deleted in one round, which limits the load on the platform.
+pub const MAX_DELETIONS_PER_ROUND: usize = 64;
 
-/// Unnamed objects seen in earlier rounds.
+/// Unreferenced objects found in earlier rounds, with the time when each was first seen.
 #[derive(Clone, Debug, Default)]
 pub struct Sweep {
-    unnamed: BTreeMap<ObjectHash, (Revision, Instant)>,
+    unreferenced: BTreeMap<ObjectHash, (Revision, Instant)>,
 }
 
 impl Sweep {
-    /// Takes in what the platform holds now, with the revision of each, and
-    /// returns what is to be deleted if it is still at that revision.
+    /// Takes the objects now on the platform with their revisions, and returns
+    /// the objects to delete, each only if it is still at the returned revision.
     ///
-    /// An object that was written again meanwhile has a new revision and counts
-    /// as young: an accept may be about to name it.
+    /// An object that was written again has a new revision, which resets its
+    /// age: an accept in progress may be about to reference it.
     pub fn round(
         &mut self,
         listed: &[(ObjectHash, Revision)],
-        named: &BTreeSet<ObjectHash>,
+        referenced: &BTreeSet<ObjectHash>,
         now: Instant,
     ) -> Vec<(ObjectHash, Revision)> {
-        let mut unnamed = BTreeMap::new();
-        for (hash, revision) in listed.iter().filter(|(hash, _)| !named.contains(hash)) {
-            let seen = self.unnamed.get(hash).filter(|(held, _)| held == revision);
-            let since = seen.map_or(now, |(_, since)| *since);
-            unnamed.insert(*hash, (*revision, since));
+        let mut unreferenced = BTreeMap::new();
+        for (hash, revision) in listed.iter().filter(|(hash, _)| !referenced.contains(hash)) {
+            let known = self.unreferenced.get(hash).filter(|(at, _)| at == revision);
+            let since = known.map_or(now, |(_, since)| *since);
+            unreferenced.insert(*hash, (*revision, since));
         }
-        self.unnamed = unnamed;
-        let old = self.unnamed.iter().filter(|(_, (_, since))| now >= *since + MIN_AGE);
-        old.map(|(hash, (revision, _))| (*hash, *revision)).take(MOST_PER_ROUND).collect()
+        self.unreferenced = unreferenced;
+        let old = self.unreferenced.iter().filter(|(_, (_, since))| now >= *since + MIN_AGE);
+        old.map(|(hash, (revision, _))| (*hash, *revision)).take(MAX_DELETIONS_PER_ROUND).collect()
     }
 }
--- a/crates/core/src/delivery/head.rs
+++ b/crates/core/src/delivery/head.rs
@@ -1,10 +1,10 @@
-//! The one total order of versions, and operations on it.
+//! The total order of versions, and the operations that extend it.
 //!
-//! The platform holds one small value, the [`Head`]. Every accept, withdrawal,
-//! selector and label is an [`Operation`] that replaces it by compare-and-swap.
-//! An operation carries an id that stays in the head for a while: a client
-//! whose answer was lost reads the head again and finds there whether it took
-//! effect.
+//! The platform stores one small value, the [`Head`]. Every accept, withdrawal,
+//! and change of a selector or of labels is an [`Operation`] that replaces the
+//! head by compare-and-swap. The head lists the ids of the latest operations, so
+//! that a client whose response was lost can read the head again and find out
+//! whether its operation took effect.
 
 use crate::config::manifest::{ConfigEntry, Manifest};
 use crate::config::{Labels, Selector};
@@ -12,76 +12,79 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Operation ids that the head keeps.
+/// Maximum number of operation ids in the head.
 ///
-/// A client settles a lost answer within seconds; at 260 changes a day the
-/// list covers two hours. Every reader receives it with each change, so it is
-/// not longer.
-pub const OPS_KEPT: usize = 24;
+/// A client whose response was lost reads the head again within seconds; at 260
+/// changes a day the list covers two hours. It is no longer than that because
+/// every reader receives it with each change.
+pub const MAX_OPERATION_IDS: usize = 24;
 
 /// The value of the platform's key `head`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Head {
-    /// The newest version; zero before the first.
+    /// The newest version; zero before the first accept.
     pub version: Version,
-    /// Its root, in hexadecimal.
+    /// Hash of its root object, in hexadecimal.
     pub root: String,
     /// When it was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// Ids of the latest operations; the last one made `version`, the one before
-    /// it the version before, and so on.
+    /// Ids of the latest operations, oldest first. The last operation created
+    /// `version`, the one before it `version - 1`, and so on.
     pub ops: Vec<String>,
 }
 
 impl Head {
-    /// Returns the root's hash, or `None` before the first version.
+    /// Returns the hash of the root object, or `None` before the first version.
     pub fn root_hash(&self) -> Option<ObjectHash> {
         ObjectHash::from_hex(&self.root)
     }
 
-    /// Returns the version that an operation made, if it took effect.
+    /// Returns the version that an operation created, or `None` if the head does
+    /// not list the operation.
     pub fn find(&self, op_id: &str) -> Option<Version> {
-        let back = self.ops.iter().rev().position(|id| id == op_id)?;
-        Some(self.version - back as Version)
+        let versions_back = self.ops.iter().rev().position(|id| id == op_id)?;
+        Some(self.version - versions_back as Version)
     }
 
-    /// Returns the head that follows this one.
+    /// Returns the head after an operation that creates the next version.
     pub fn successor(&self, op_id: &str, root: ObjectHash, accepted_ms: u64) -> Head {
         let version = self.version + 1;
         let mut ops = self.ops.clone();
         ops.push(op_id.to_string());
-        let extra = ops.len().saturating_sub(OPS_KEPT);
-        ops.drain(..extra);
+        let excess = ops.len().saturating_sub(MAX_OPERATION_IDS);
+        ops.drain(..excess);
         Head { version, root: root.to_string(), accepted_ms, ops }
     }
 }
 
-/// A change that an operator asks for.
+/// A change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Puts a configuration in place of any with its id.
+    /// Adds a configuration, replacing any with the same id.
     Accept(ConfigEntry),
-    /// Takes a configuration away.
+    /// Removes the configuration with this id.
     Withdraw(String),
-    /// Puts a selector in place of any with its name.
+    /// Adds a selector, replacing any with the same name.
     SetSelector(Selector),
-    /// Takes a selector away.
+    /// Removes the selector with this name.
     RemoveSelector(String),
-    /// Lays labels over those of a host.
+    /// Adds labels to a host, replacing those with the same key.
     SetLabels { host: String, labels: Labels },
-    /// Takes labels of a host away, by key.
+    /// Removes the labels of a host with these keys.
     RemoveLabels { host: String, keys: Vec<String> },
 }
 
 /// Why an operation does not take effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// What it would take away is not there.
+    /// The configuration, selector or label to remove does not exist.
     NotFound(String),
-    /// Another operator changed the same thing since this one looked.
+    /// Another operator changed the same subject after this operation was
+    /// evaluated.
     Conflict { what: String, since: Version, now: Version },
-    /// The lost answer can no longer be settled: too many versions followed.
+    /// The response was lost and the head no longer shows whether the operation
+    /// took effect, because too many versions followed.
     OutcomeUnknown { since: Version, now: Version },
 }
 
@@ -96,7 +99,7 @@
             ),
             Refused::OutcomeUnknown { since, now } => write!(
                 f,
-                "the answer was lost and versions went from {since} to {now} meanwhile; \
+                "the response was lost and versions went from {since} to {now} meanwhile; \
                  use `list` to see whether the change took effect"
             ),
         }
@@ -106,7 +109,7 @@
 impl std::error::Error for Refused {}
 
 impl Operation {
-    /// Names what the operation changes, for messages.
+    /// Describes what the operation changes, for messages.
     pub fn subject(&self) -> String {
         match self {
             Operation::Accept(entry) => format!("configuration {:?}", entry.id),
@@ -119,38 +122,38 @@
         }
     }
 
-    /// Applies the operation.
+    /// Applies the operation to a manifest.
     ///
     /// # Errors
     ///
-    /// Returns [`Refused::NotFound`] where there is nothing to take away.
+    /// Returns [`Refused::NotFound`] if there is nothing to remove.
     pub fn apply(&self, manifest: &mut Manifest) -> Result<(), Refused> {
-        let absent = || Refused::NotFound(self.subject());
+        let not_found = || Refused::NotFound(self.subject());
         match self {
             Operation::Accept(entry) => {
                 manifest.configs.insert(entry.id.clone(), entry.clone());
             }
             Operation::Withdraw(id) => {
-                manifest.configs.remove(id).ok_or_else(absent)?;
+                manifest.configs.remove(id).ok_or_else(not_found)?;
             }
             Operation::SetSelector(selector) => {
                 manifest.selectors.insert(selector.name.clone(), selector.clone());
             }
             Operation::RemoveSelector(name) => {
-                manifest.selectors.remove(name).ok_or_else(absent)?;
+                manifest.selectors.remove(name).ok_or_else(not_found)?;
             }
             Operation::SetLabels { host, labels } => {
-                let held = manifest.labels.entry(host.clone()).or_default();
-                held.extend(labels.iter().map(|(k, v)| (k.clone(), v.clone())));
+                let existing = manifest.labels.entry(host.clone()).or_default();
+                existing.extend(labels.iter().map(|(k, v)| (k.clone(), v.clone())));
             }
             Operation::RemoveLabels { host, keys } => {
-                let held = manifest.labels.get_mut(host).ok_or_else(absent)?;
-                let before = held.len();
-                held.retain(|key, _| !keys.contains(key));
-                if held.len() == before {
-                    return Err(absent());
+                let existing = manifest.labels.get_mut(host).ok_or_else(not_found)?;
+                let before = existing.len();
+                existing.retain(|key, _| !keys.contains(key));
+                if existing.len() == before {
+                    return Err(not_found());
                 }
-                if held.is_empty() {
+                if existing.is_empty() {
                     manifest.labels.remove(host);
                 }
             }
@@ -158,10 +161,10 @@
         Ok(())
     }
 
-    /// Returns whether two manifests differ in what the operation changes.
+    /// Returns whether two manifests differ in the subject of the operation.
     ///
-    /// The loser of a race is applied again to the new manifest only where its
-    /// own subject stayed as its operator last saw it.
+    /// An operation whose compare-and-swap failed is applied to the new manifest
+    /// only if its subject is unchanged since its operator last read it.
     pub fn subject_differs(&self, before: &Manifest, after: &Manifest) -> bool {
         match self {
             Operation::Accept(entry) => {
@@ -181,24 +184,25 @@
     }
 }
 
-/// What a client does after reading the head once more.
+/// What became of an operation, according to a head read after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperationOutcome {
     /// The operation took effect as this version.
     Done(Version),
-    /// It did not, and may be tried again.
+    /// The operation did not take effect and may be retried.
     Retry,
 }
 
-/// Decides what became of an operation whose compare-and-swap failed or whose
-/// answer was lost.
+/// Determines the outcome of an operation whose compare-and-swap failed or whose
+/// response was lost.
 ///
 /// `base` is the version that the operation was first evaluated against.
 ///
 /// # Errors
 ///
-/// Returns [`Refused::OutcomeUnknown`] where the head no longer reaches back to
-/// `base`, so that the operation may have been there.
+/// Returns [`Refused::OutcomeUnknown`] if the operation ids in the head no longer
+/// reach back to `base`: the operation may have taken effect and been dropped
+/// from the list.
 pub fn resolve_outcome(
     head: &Head,
     op_id: &str,
--- a/crates/core/src/delivery/promotion.rs
+++ b/crates/core/src/delivery/promotion.rs
@@ -1,42 +1,42 @@
-//! A reader's decision when a version goes on to the next state.
+//! A reader's decision when to promote a version to the next state.
 //!
 //! The reader offers a version to every live member of its failure domain and
-//! waits until all of them hold it, so that they switch together. A member that
-//! does not answer in time must not hold up the others: after [`GRACE`] it is
-//! recorded as a straggler and catches up by itself. A member that refuses the
-//! version does hold it up: a bad version is run by nobody.
+//! waits until all of them have staged it, so that they switch together. A member
+//! that does not answer in time must not delay the others: after [`GRACE`] it is
+//! recorded as late and catches up by itself. A member that refuses the version
+//! stops its promotion: an invalid version is run by no daemon.
 
 use crate::ids::{HostKey, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// How long stragglers may delay the others.
+/// How long late members may delay the others.
 pub const GRACE: Duration = Duration::from_millis(600);
 
 /// What a reader does next with a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Wait for answers until this time.
+    /// Wait for the remaining members until this time.
     WaitUntil(Instant),
-    /// Ask the witnesses to promise it.
+    /// Ask the witnesses to promise the version.
     RequestPromises,
-    /// Leave the version before it in force; somebody refused.
+    /// Leave the previous version in force, because a member refused this one.
     Withhold,
 }
 
-/// The state of one version's roll-out in one failure domain.
+/// The state of the promotion of one version in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Promotion {
-    /// The version rolled out.
+    /// The version being promoted.
     pub version: Version,
     offered_at: Instant,
-    waiting: BTreeSet<HostKey>,
-    holding: BTreeSet<HostKey>,
+    pending: BTreeSet<HostKey>,
+    staged: BTreeSet<HostKey>,
     refused: BTreeMap<HostKey, String>,
 }
 
 impl Promotion {
-    /// Starts the roll-out of a version to the members that are live now.
+    /// Starts the promotion of a version among the members that are live now.
     pub fn new(
         version: Version,
         live: impl IntoIterator<Item = HostKey>,
@@ -45,38 +45,38 @@
         Promotion {
             version,
             offered_at: now,
-            waiting: live.into_iter().collect(),
-            holding: BTreeSet::new(),
+            pending: live.into_iter().collect(),
+            staged: BTreeSet::new(),
             refused: BTreeMap::new(),
         }
     }
 
-    /// Records that a member holds the version whole.
-    pub fn held(&mut self, host: HostKey) {
-        self.waiting.remove(&host);
+    /// Records that a member has staged the version.
+    pub fn mark_staged(&mut self, host: HostKey) {
+        self.pending.remove(&host);
         self.refused.remove(&host);
-        self.holding.insert(host);
+        self.staged.insert(host);
     }
 
-    /// Records that a member found the version bad.
-    pub fn refused(&mut self, host: HostKey, why: String) {
-        self.waiting.remove(&host);
-        self.refused.insert(host, why);
+    /// Records that a member refused the version as invalid.
+    pub fn mark_refused(&mut self, host: HostKey, reason: String) {
+        self.pending.remove(&host);
+        self.refused.insert(host, reason);
     }
 
-    /// Records that a member died or could not be reached.
-    pub fn lost(&mut self, host: HostKey) {
-        self.waiting.remove(&host);
+    /// Records that a member died, could not be reached or did not answer in time.
+    pub fn mark_unreachable(&mut self, host: HostKey) {
+        self.pending.remove(&host);
     }
 
-    /// Returns the members that hold the version.
-    pub fn holding(&self) -> &BTreeSet<HostKey> {
-        &self.holding
+    /// Returns the members that have staged the version.
+    pub fn staged(&self) -> &BTreeSet<HostKey> {
+        &self.staged
     }
 
-    /// Returns the members not heard of yet.
-    pub fn waiting(&self) -> &BTreeSet<HostKey> {
-        &self.waiting
+    /// Returns the members whose response is pending.
+    pub fn pending(&self) -> &BTreeSet<HostKey> {
+        &self.pending
     }
 
     /// Returns the members that refused the version, with their reasons.
@@ -84,15 +84,15 @@
         &self.refused
     }
 
-    /// Decides what to do at this time.
+    /// Returns the next step at the time `now`.
     pub fn step(&self, now: Instant) -> Step {
         if !self.refused.is_empty() {
             return Step::Withhold;
         }
-        let until = self.offered_at + GRACE;
-        if self.waiting.is_empty() || now >= until {
+        let deadline = self.offered_at + GRACE;
+        if self.pending.is_empty() || now >= deadline {
             return Step::RequestPromises;
         }
-        Step::WaitUntil(until)
+        Step::WaitUntil(deadline)
     }
 }
--- a/crates/core/src/delivery/stage.rs
+++ b/crates/core/src/delivery/stage.rs
@@ -1,9 +1,9 @@
-//! What of a version is still missing, and the table once nothing is.
+//! Staging of a version: which objects are missing, and the routing table once none is.
 //!
-//! Staging is a loop: [`next_step`] names the objects to fetch, the caller puts them
-//! into the [`Store`], and asks again, until it gets the compiled table or a
-//! reason why the version is bad. Nothing is kept between rounds, so that a
-//! fetch that fails half-way leaves no half version behind.
+//! Staging is a loop: [`next_step`] lists the objects to fetch, the caller puts
+//! them into the [`Store`] and calls again, until it gets the compiled table or
+//! the reason why the version is invalid. No state is kept between rounds, so a
+//! fetch that fails half-way leaves no partly staged version behind.
 
 use super::store::Store;
 use crate::config::compile::RoutingTable;
@@ -14,45 +14,47 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// How much of a version a daemon wants.
+/// How much of a version a daemon stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Only what the proxy's labels select.
+    /// Only the configurations that the selectors choose for the proxy.
     Selected,
-    /// Everything, as a reader does, to check it whole before offering it.
+    /// Every configuration; a reader checks all of them before it offers the version.
     Complete,
 }
 
-/// What staging needs next.
+/// The next step of staging a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StagingStep {
-    /// Fetch these objects and ask again.
+    /// Fetch these objects and call [`next_step`] again.
     Fetch(Vec<ObjectHash>),
-    /// Every object is here and valid.
+    /// Every object is present and valid.
     Ready(Box<Staged>),
 }
 
-/// A version that a proxy holds whole.
+/// A version whose objects are all present, compiled for one proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Staged {
-    /// The compiled routes.
+    /// The compiled routing table.
     pub table: RoutingTable,
     /// Ids of the selected configurations.
     pub selected: Vec<String>,
-    /// Every object of the version that is held, to keep while it matters.
+    /// Objects of the version in the store, which must be kept while the version is
+    /// staged or running.
     pub objects: BTreeSet<ObjectHash>,
 }
 
 /// Why a version cannot be run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InvalidVersion {
-    /// An object's bytes have the right name and are not what they should be.
+    /// An object is not in the store, or its bytes have the right hash but cannot
+    /// be decoded.
     Unreadable(ObjectHash),
-    /// The root is of another version than the one offered.
+    /// The root object states another version than the offered one.
     WrongVersion { offered: Version, found: Version },
     /// A configuration fails validation.
     Invalid(Invalid),
-    /// A configuration is longer than its entry says or than the limit.
+    /// A configuration is larger than the limit, according to its manifest entry.
     TooLarge { id: String, bytes: u64 },
 }
 
@@ -61,7 +63,7 @@
         match self {
             InvalidVersion::Unreadable(hash) => write!(f, "object {hash} cannot be decoded"),
             InvalidVersion::WrongVersion { offered, found } => {
-                write!(f, "offered as version {offered}, its root says {found}")
+                write!(f, "offered as version {offered}, but its root states version {found}")
             }
             InvalidVersion::Invalid(invalid) => write!(f, "{invalid}"),
             InvalidVersion::TooLarge { id, bytes } => {
@@ -73,11 +75,11 @@
 
 impl std::error::Error for InvalidVersion {}
 
-/// Returns what is missing of a version, or its table.
+/// Returns the objects of a version that are missing, or the staged version.
 ///
 /// # Errors
 ///
-/// Returns [`InvalidVersion`] where the version must not be run by this proxy.
+/// Returns [`InvalidVersion`] if this proxy must not run the version.
 pub fn next_step(
     store: &Store,
     version: Version,
@@ -100,14 +102,14 @@
     }
     let entries = read_entries(store, &root)?;
     let chosen = read_selection(store, &root, proxy, &entries)?;
-    let wanted: Vec<ObjectHash> = match scope {
+    let config_hashes: Vec<ObjectHash> = match scope {
         Scope::Selected => chosen.iter().map(|entry| entry.hash).collect(),
         Scope::Complete => entries.iter().map(|entry| entry.hash).collect(),
     };
     if let Some(entry) = entries.iter().find(|entry| entry.bytes as usize > MAX_CONFIG_BYTES) {
         return Err(InvalidVersion::TooLarge { id: entry.id.clone(), bytes: entry.bytes });
     }
-    let missing = store.missing(&wanted);
+    let missing = store.missing(&config_hashes);
     if !missing.is_empty() {
         return Ok(StagingStep::Fetch(missing));
     }
@@ -117,7 +119,7 @@
     let configs =
         chosen.iter().map(|entry| read_config(store, entry)).collect::<Result<Vec<_>, _>>()?;
     let table = RoutingTable::compile(version, configs).map_err(InvalidVersion::Invalid)?;
-    let objects = pages.into_iter().chain(wanted).chain([root_hash]).collect();
+    let objects = pages.into_iter().chain(config_hashes).chain([root_hash]).collect();
     let selected = chosen.iter().map(|entry| entry.id.clone()).collect();
     Ok(StagingStep::Ready(Box::new(Staged { table, selected, objects })))
 }
@@ -140,10 +142,10 @@
     let labels: LabelPage = read(store, root.label_page(&proxy.host))?;
     let selectors: SelectorPage = read(store, root.selectors)?;
     let proxy = proxy.with_labels(labels.get(&proxy.host));
-    let reaching: Vec<_> = selectors.values().filter(|s| s.matches_proxy(&proxy)).collect();
+    let matching: Vec<_> = selectors.values().filter(|s| s.matches_proxy(&proxy)).collect();
     let chosen = entries
         .iter()
-        .filter(|entry| reaching.iter().any(|s| s.selects(&entry.labels, &proxy)))
+        .filter(|entry| matching.iter().any(|s| s.selects(&entry.labels, &proxy)))
         .collect();
     Ok(chosen)
 }
--- a/crates/core/src/delivery/store.rs
+++ b/crates/core/src/delivery/store.rs
@@ -1,19 +1,19 @@
-//! Objects held in memory, named by their contents.
+//! Content-addressed objects, kept in memory.
 
 use crate::ids::ObjectHash;
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
 use std::sync::Arc;
 
-/// Largest object taken in; the platform holds values up to a megabyte.
+/// Maximum size of an object; the platform stores values of up to a megabyte.
 pub const MAX_OBJECT_BYTES: usize = 1 << 20;
 
-/// Why bytes are not taken in.
+/// Why the store rejects the bytes of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectError {
-    /// The bytes do not have the name they came under: corrupt or truncated.
+    /// The bytes do not have the expected hash: they are corrupt or truncated.
     Mismatch { wanted: ObjectHash, got: ObjectHash },
-    /// More than [`MAX_OBJECT_BYTES`].
+    /// The object is larger than [`MAX_OBJECT_BYTES`].
     TooLarge(usize),
 }
 
@@ -30,18 +30,18 @@
 
 impl std::error::Error for ObjectError {}
 
-/// Objects by name.
+/// Objects by the hash of their contents.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     objects: HashMap<ObjectHash, Arc<Vec<u8>>>,
 }
 
 impl Store {
-    /// Takes in the bytes of an object after checking its name.
+    /// Stores the bytes of an object after checking their hash.
     ///
     /// # Errors
     ///
-    /// Returns [`ObjectError`] and keeps nothing where the bytes cannot be the
+    /// Returns [`ObjectError`] and stores nothing if the bytes cannot be the
     /// object.
     pub fn put(&mut self, wanted: ObjectHash, buf: Vec<u8>) -> Result<(), ObjectError> {
         if buf.len() > MAX_OBJECT_BYTES {
@@ -60,17 +60,17 @@
         self.objects.get(&hash).cloned()
     }
 
-    /// Returns those of the names that are not held.
+    /// Returns those of the hashes whose objects are not in the store.
     pub fn missing(&self, hashes: &[ObjectHash]) -> Vec<ObjectHash> {
         hashes.iter().filter(|hash| !self.objects.contains_key(hash)).copied().collect()
     }
 
-    /// Drops every object that is not named.
+    /// Removes every object whose hash is not in `keep`.
     pub fn retain(&mut self, keep: &BTreeSet<ObjectHash>) {
         self.objects.retain(|hash, _| keep.contains(hash));
     }
 
-    /// Returns the number of objects and their bytes.
+    /// Returns the number of objects and their total size in bytes.
     pub fn size(&self) -> (usize, usize) {
         (self.objects.len(), self.objects.values().map(|buf| buf.len()).sum())
     }
--- a/crates/core/src/delivery/witness.rs
+++ b/crates/core/src/delivery/witness.rs
@@ -1,4 +1,7 @@
-//! Promises of witnesses and how they are counted.
+//! Promises of witnesses, and how they are counted.
+//!
+//! A witness promises a version by reporting it, from then on, to every daemon
+//! that asks for its floor.
 
 use crate::ids::{HostKey, Incarnation, Version};
 use serde::{Deserialize, Serialize};
@@ -11,7 +14,7 @@
 }
 
 impl WitnessSet {
-    /// Makes a panel; order and repetition do not matter.
+    /// Creates the set; order and duplicates do not matter.
     pub fn new(hosts: impl IntoIterator<Item = HostKey>) -> WitnessSet {
         let mut hosts: Vec<_> = hosts.into_iter().collect();
         hosts.sort_unstable();
@@ -29,24 +32,24 @@
         self.hosts.binary_search(&host).is_ok()
     }
 
-    /// Returns how many witnesses are more than half.
+    /// Returns the smallest number of witnesses that is more than half.
     pub fn majority(&self) -> usize {
         self.hosts.len() / 2 + 1
     }
 }
 
-/// What one witness says of itself.
+/// The state that a witness reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Testimony {
-    /// Who speaks.
+    /// The witness that sends the testimony.
     pub witness: HostKey,
-    /// In which of its lives.
+    /// Incarnation of the witness.
     pub life: Incarnation,
-    /// The highest version it promised to name.
+    /// The highest version that it promised.
     pub promised: Version,
-    /// The newest life of each other witness that has asked it.
+    /// The newest known incarnation of each other witness that requested a floor.
     pub lives: BTreeMap<HostKey, Incarnation>,
-    /// Whose question this answers, if any.
+    /// The host and incarnation whose floor request this answers, if any.
     pub answers: Option<(HostKey, Incarnation)>,
 }
 
@@ -57,51 +60,53 @@
 }
 
 impl Testimonies {
-    /// Keeps a testimony unless a newer one of the same witness is held.
+    /// Adds a testimony unless a newer one of the same witness is already kept.
     pub fn add(&mut self, testimony: Testimony) {
         let newest = self.by_witness.get(&testimony.witness).map(|t| (t.life, t.promised));
-        if newest.is_none_or(|held| held <= (testimony.life, testimony.promised)) {
+        if newest.is_none_or(|kept| kept <= (testimony.life, testimony.promised)) {
             self.by_witness.insert(testimony.witness, testimony);
         }
     }
 
-    /// Returns the highest version that a majority of the panel promised.
+    /// Returns the highest version that a majority of the witnesses promised.
     ///
-    /// A promise of a life that another testimony knows to be over does not
-    /// count when `check_incarnations` is set. Failure: a witness promises, dies, comes
-    /// back empty and learns an older bound; its late promise is then counted
-    /// although it no longer names the version. Symptom: a proxy runs a version
-    /// that a majority of witnesses has never heard of, and goes back after its
-    /// next restart. The guard is enough because the majority that the witness
-    /// asked on its return remembers its new life, and every majority shares a
-    /// member with that one.
-    pub fn active(&self, panel: &WitnessSet, check_incarnations: bool) -> Version {
+    /// If `check_incarnations` is set, a promise is not counted when another
+    /// testimony shows that the incarnation that made it has ended. Failure: a
+    /// witness promises a version, restarts without state and takes an older
+    /// floor; its late promise is then counted although it no longer reports the
+    /// version. Symptom: a proxy runs a version that a majority of witnesses does
+    /// not know, and goes back to an older one after its next restart. The check
+    /// suffices because the majority that the restarted witness asked for its
+    /// floor remembers the new incarnation, and any two majorities share a
+    /// member.
+    pub fn active(&self, witnesses: &WitnessSet, check_incarnations: bool) -> Version {
         let mut promised: Vec<Version> = self
             .by_witness
             .values()
-            .filter(|t| panel.contains(t.witness))
-            .filter(|t| !check_incarnations || !self.is_over(t))
+            .filter(|t| witnesses.contains(t.witness))
+            .filter(|t| !check_incarnations || !self.has_ended(t))
             .map(|t| t.promised)
             .collect();
         promised.sort_unstable_by(|a, b| b.cmp(a));
-        promised.get(panel.majority() - 1).copied().unwrap_or(0)
+        promised.get(witnesses.majority() - 1).copied().unwrap_or(0)
     }
 
-    /// Drops what can no longer raise the active version.
+    /// Removes testimonies that can no longer raise the active version.
     ///
-    /// What those testimonies know of lives is not needed: in any majority that
-    /// counts for a version, some member answered the new life before it
-    /// promised, and brings that knowledge itself.
+    /// The incarnations that those testimonies list are not needed: in any
+    /// majority that is counted for a version, some member answered the floor
+    /// request of the new incarnation before it promised, so its own testimony
+    /// lists that incarnation.
     pub fn prune(&mut self, active: Version) {
         self.by_witness.retain(|_, t| t.promised > active);
     }
 
-    /// Returns the testimonies held.
+    /// Returns the testimonies.
     pub fn iter(&self) -> impl Iterator<Item = &Testimony> {
         self.by_witness.values()
     }
 
-    fn is_over(&self, testimony: &Testimony) -> bool {
+    fn has_ended(&self, testimony: &Testimony) -> bool {
         self.by_witness
             .values()
             .filter_map(|other| other.lives.get(&testimony.witness))
--- a/crates/core/tests/scenarios/delivery.rs
+++ b/crates/core/tests/scenarios/delivery.rs
@@ -1,5 +1,5 @@
-//! Hosts of one failure domain, the platform's head, and what passes between
-//! them, one step at a time.
+//! Simulates the hosts of one failure domain, the platform's head and the
+//! messages between them, one step of the script at a time.
 
 use super::{arg, list, number};
 use cicadashift_core::delivery::node::{Action, Event, Guards, Node};
@@ -12,9 +12,9 @@
 pub struct World {
     names: Vec<String>,
     nodes: BTreeMap<String, Node>,
-    lives: BTreeMap<String, u64>,
+    incarnations: BTreeMap<String, u64>,
     ran: BTreeMap<String, Version>,
-    away: BTreeSet<String>,
+    partitioned: BTreeSet<String>,
     outage: bool,
     head: Version,
     guards: Option<Guards>,
@@ -30,12 +30,12 @@
         "accept" => world.head += 1,
         "outage" => world.outage = true,
         "back" => world.outage = false,
-        "cut" => world.away.extend(hosts),
+        "cut" => world.partitioned.extend(hosts),
         "mend" => hosts.iter().for_each(|host| {
-            world.away.remove(host);
+            world.partitioned.remove(host);
         }),
         "crash" => hosts.iter().for_each(|host| world.crash(host)),
-        "crash-with-clock-back" => hosts.iter().for_each(|host| world.crash_back(host)),
+        "crash-with-clock-back" => hosts.iter().for_each(|host| world.crash_with_clock_back(host)),
         "read" => hosts.iter().for_each(|host| world.read(host)),
         "hold" => hosts.iter().for_each(|host| world.event(host, Event::Staged(version))),
         "promise" => {
@@ -47,7 +47,7 @@
         "show" => {}
         other => return format!("no such step: {other}\n"),
     }
-    world.picture()
+    world.render()
 }
 
 impl World {
@@ -64,42 +64,42 @@
         self.guards = Some(guards);
         self.names = hosts;
         for name in self.names.clone() {
-            self.fresh(&name, 1);
+            self.start_host(&name, 1);
         }
     }
 
-    fn fresh(&mut self, name: &str, life: u64) {
-        let panel = WitnessSet::new(self.names.iter().map(|name| HostKey::of(name)));
+    fn start_host(&mut self, name: &str, life: u64) {
+        let witnesses = WitnessSet::new(self.names.iter().map(|name| HostKey::of(name)));
         let guards = self.guards.unwrap_or(Guards::ALL);
-        self.nodes.insert(name.to_string(), Node::new(HostKey::of(name), life, panel, guards));
-        self.lives.insert(name.to_string(), life);
+        self.nodes.insert(name.to_string(), Node::new(HostKey::of(name), life, witnesses, guards));
+        self.incarnations.insert(name.to_string(), life);
     }
 
     fn crash(&mut self, name: &str) {
-        let life = self.lives[name] + 1;
-        self.fresh(name, life);
+        let life = self.incarnations[name] + 1;
+        self.start_host(name, life);
     }
 
-    /// A crash after which the host's clock shows an earlier time.
-    fn crash_back(&mut self, name: &str) {
-        let life = self.lives[name].saturating_sub(1);
-        self.fresh(name, life);
+    /// Restarts a host whose clock went back, which gives it a lower incarnation.
+    fn crash_with_clock_back(&mut self, name: &str) {
+        let life = self.incarnations[name].saturating_sub(1);
+        self.start_host(name, life);
     }
 
     fn read(&mut self, name: &str) {
-        match self.outage || self.away.contains(name) {
+        match self.outage || self.partitioned.contains(name) {
             true => self.log.push(format!("{name} cannot read the platform")),
             false => self.event(name, Event::HeadRead(self.head)),
         }
     }
 
-    /// Does what a reader does, as far as everybody can be reached.
+    /// Rolls a version out as a reader does, to every host that can be reached.
     fn roll_out(&mut self, version: Version) {
-        let reached: Vec<String> = self.reached();
-        for name in &reached {
+        let reachable: Vec<String> = self.reachable();
+        for name in &reachable {
             self.event(name, Event::Staged(version));
         }
-        for name in &reached {
+        for name in &reachable {
             self.event(name, Event::PromiseRequested(version));
         }
     }
@@ -107,11 +107,13 @@
     fn ask_all(&mut self, from: &str) {
         let ask =
             Event::FloorRequested { from: HostKey::of(from), life: self.nodes[from].incarnation() };
-        for to in self.reached().into_iter().filter(|to| to != from) {
+        for to in self.reachable().into_iter().filter(|to| to != from) {
             let Some(node) = self.nodes.get_mut(&to) else { continue };
             for action in node.on(ask.clone()) {
                 match action {
-                    Action::SendTestimony(said) => self.event(from, Event::TestimonyReceived(said)),
+                    Action::SendTestimony(testimony) => {
+                        self.event(from, Event::TestimonyReceived(testimony))
+                    }
                     Action::Decline => self.log.push(format!("{to} cannot speak")),
                     other => self.act(&to, other),
                 }
@@ -129,10 +131,10 @@
     fn act(&mut self, name: &str, action: Action) {
         match action {
             Action::Run(version) => self.ran(name, version),
-            Action::SendTestimony(said) => self.tell(name, &said),
+            Action::SendTestimony(testimony) => self.broadcast(name, &testimony),
             Action::RequestPromises(version) => {
                 self.log.push(format!("{name} asks for promises of {version}"));
-                for to in self.reached() {
+                for to in self.reachable() {
                     self.event(&to, Event::Staged(version));
                     self.event(&to, Event::PromiseRequested(version));
                 }
@@ -142,12 +144,12 @@
         }
     }
 
-    fn tell(&mut self, from: &str, said: &Testimony) {
-        if self.away.contains(from) {
+    fn broadcast(&mut self, from: &str, testimony: &Testimony) {
+        if self.partitioned.contains(from) {
             return;
         }
-        for to in self.reached() {
-            self.event(&to, Event::TestimonyReceived(said.clone()));
+        for to in self.reachable() {
+            self.event(&to, Event::TestimonyReceived(testimony.clone()));
         }
     }
 
@@ -159,11 +161,11 @@
         }
     }
 
-    fn reached(&self) -> Vec<String> {
-        self.names.iter().filter(|name| !self.away.contains(*name)).cloned().collect()
+    fn reachable(&self) -> Vec<String> {
+        self.names.iter().filter(|name| !self.partitioned.contains(*name)).cloned().collect()
     }
 
-    fn picture(&mut self) -> String {
+    fn render(&mut self) -> String {
         let mut out: String = self.log.drain(..).map(|line| line + "\n").collect();
         for name in &self.names {
             let node = &self.nodes[name];
