--- a/src/daemon/garbage.rs
+++ b/src/daemon/garbage.rs
@@ -1,4 +1,4 @@
-//! Deleting objects of the platform that nobody needs any more.
+//! Deletes objects on the platform that no manifest references any more.
 
 use super::Daemon;
 use crate::store::{Platform, PlatformError, keys};
@@ -7,32 +7,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two rounds; two of them make an object old enough.
-const EVERY: Duration = Duration::from_secs(300);
+/// Mean time between two rounds; two of them add up to the minimum age of a deleted object.
+const ROUND_INTERVAL: Duration = Duration::from_secs(300);
 
-/// Sweeps now and then, while this daemon is a reader.
+/// Runs a round at each interval while this daemon is a reader.
 pub async fn run(d: Arc<Daemon>) {
     let mut sweep = Sweep::default();
     loop {
-        smol::Timer::after(EVERY.mul_f64(0.8 + 0.4 * fastrand::f64())).await;
+        smol::Timer::after(ROUND_INTERVAL.mul_f64(0.8 + 0.4 * fastrand::f64())).await;
         if !d.members.own().reader {
             sweep = Sweep::default();
             continue;
         }
-        match round(&d, &mut sweep).await {
+        match collect(&d, &mut sweep).await {
             Ok(0) => {}
-            Ok(count) => log::info!("{count} objects that nobody names were deleted"),
-            Err(err) => log::warn!("garbage is left for later: {err}"),
+            Ok(count) => log::info!("deleted {count} unreferenced objects"),
+            Err(err) => log::warn!(
+                "unreferenced objects were not deleted, trying again in the next round: {err}"
+            ),
         }
     }
 }
 
-async fn round(d: &Arc<Daemon>, sweep: &mut Sweep) -> Result<usize, PlatformError> {
-    // Listed first: what is named by a head that came afterwards was written
-    // before it, and is then young.
+async fn collect(d: &Arc<Daemon>, sweep: &mut Sweep) -> Result<usize, PlatformError> {
+    // The objects are listed before the head is read. An object that only a later
+    // head references was written shortly before that head, so it is either not
+    // listed or too young to be deleted.
     let pairs = d.store.list(keys::OBJECTS, true).await?;
     let head = super::reader::read_head(d).await?;
-    let Some(named) = head.and_then(|what| d.versions.objects_of(what.version)) else {
+    let Some(referenced) = head.and_then(|version_ref| d.versions.objects_of(version_ref.version))
+    else {
         return Ok(0);
     };
     let listed: Vec<(ObjectHash, Revision)> = pairs
@@ -42,7 +46,7 @@
             Some((hash, pair.revision))
         })
         .collect();
-    let old = sweep.round(&listed, &named, d.clock.now());
+    let old = sweep.round(&listed, &referenced, d.clock.now());
     if old.is_empty() {
         return Ok(0);
     }
--- a/src/daemon/promotion.rs
+++ b/src/daemon/promotion.rs
@@ -1,4 +1,4 @@
-//! Rolling a version out to a failure domain, and the relays' part in it.
+//! Promotes a version in a failure domain, and relays offers and activations.
 
 use super::record::RowDraft;
 use super::sources::ObjectSource;
@@ -10,53 +10,54 @@
 use cicadashift_core::delivery::tree::{self, Branch, FANOUT};
 use cicadashift_core::ids::{HostKey, Version};
 use cicadashift_http::exec;
-use cicadashift_wire::rpc::{Fate, News, Request as Ask, Response, VersionRef};
+use cicadashift_wire::rpc::{Fate, News, Request, Response, VersionRef};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time that a relay gives the hosts below it.
-const RELAY_TIME: Duration = GRACE;
-/// Wait before the witnesses are asked again.
-const PROMISE_PAUSE: Duration = Duration::from_millis(250);
-/// Attempts at a majority of promises before the version is left to the next
-/// round of catching up.
-const PROMISE_ATTEMPTS: u32 = 40;
+/// Time limit of one message that a relay sends.
+const RELAY_TIMEOUT: Duration = GRACE;
+/// Pause before the witnesses are asked again.
+const PROMISE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of attempts to collect a majority of promises; after that, the
+/// version is left to the daemons that catch up.
+const MAX_PROMISE_ATTEMPTS: u32 = 40;
 
 /// Brings a version into force in this failure domain.
 ///
-/// The daemon that does this needs no right to it: each step is safe whoever
-/// takes it, and a second daemon doing the same costs only messages.
+/// Any daemon may do this: each step is safe no matter which daemon takes it, and
+/// a second daemon that promotes the same version costs only messages.
 ///
 /// # Errors
 ///
-/// Returns why the version cannot be held here; nothing was offered then.
+/// Returns why the version cannot be staged here, in which case it was not offered.
 pub async fn run(
     d: &Arc<Daemon>,
-    what: VersionRef,
+    version_ref: VersionRef,
     source: &ObjectSource,
 ) -> Result<(), StageError> {
-    let mut draft = RowDraft::new(d, what);
-    stage::hold(d, what, source, Scope::Complete).await?;
+    let mut draft = RowDraft::new(d, version_ref);
+    stage::stage_version(d, version_ref, source, Scope::Complete).await?;
     let mut others = d.members.others();
-    tree::order(&mut others, what.version);
-    log::info!("version {}: offered to {} members", what.version, others.len());
-    let mut promotion = Promotion::new(what.version, others.iter().copied(), d.clock.now());
-    let news = d.versions.manifest_delta(what);
-    let offer = |rest| Ask::Offer { what, origin: d.me, news: news.clone(), rest };
-    let fates = spread(d, &others, offer, 2 * RELAY_TIME).await;
+    tree::order(&mut others, version_ref.version);
+    log::info!("version {}: offered to {} members", version_ref.version, others.len());
+    let mut promotion = Promotion::new(version_ref.version, others.iter().copied(), d.clock.now());
+    let delta = d.versions.manifest_delta(version_ref);
+    let offer =
+        |rest| Request::Offer { what: version_ref, origin: d.me, news: delta.clone(), rest };
+    let fates = send_to_all(d, &others, offer, 2 * RELAY_TIMEOUT).await;
     for (host, fate) in fates {
         match fate {
-            Fate::Done => promotion.held(host),
-            Fate::Refused(why) => promotion.refused(host, why),
-            Fate::Late => promotion.lost(host),
+            Fate::Done => promotion.mark_staged(host),
+            Fate::Refused(reason) => promotion.mark_refused(host, reason),
+            Fate::Late => promotion.mark_unreachable(host),
         }
     }
-    draft.staged(d, &others, &promotion);
+    draft.record_offer(d, &others, &promotion);
     match promotion.step(d.clock.now()) {
-        Step::Withhold => withhold(d, what.version, &promotion),
+        Step::Withhold => record_refusals(d, version_ref.version, &promotion),
         Step::RequestPromises | Step::WaitUntil(_) => {
-            if promised(d, what.version).await {
-                activate(d, what, &others, &mut draft).await;
+            if collect_promises(d, version_ref.version).await {
+                activate(d, version_ref, &others, &mut draft).await;
             }
         }
     }
@@ -64,63 +65,66 @@
     Ok(())
 }
 
-/// Answers an offer: holds the version, passes it on, tells how all fared.
+/// Answers an offer: stages the version, relays the offer, and reports the result of every host.
 pub async fn on_offer(
     d: &Arc<Daemon>,
-    what: VersionRef,
+    version_ref: VersionRef,
     origin: HostKey,
-    news: News,
+    delta: News,
     rest: Vec<HostKey>,
 ) -> Response {
-    d.versions.apply_manifest_delta(what, &news);
-    let own = hold_offered(d, what, origin).await;
-    let offer = |rest| Ask::Offer { what, origin, news: news.clone(), rest };
-    let mut fates = spread(d, &rest, offer, RELAY_TIME).await;
-    fates.push((d.me, own));
+    d.versions.apply_manifest_delta(version_ref, &delta);
+    let own_fate = stage_offered(d, version_ref, origin).await;
+    let offer = |rest| Request::Offer { what: version_ref, origin, news: delta.clone(), rest };
+    let mut fates = send_to_all(d, &rest, offer, RELAY_TIMEOUT).await;
+    fates.push((d.me, own_fate));
     Response::Fates(fates)
 }
 
-/// Answers an activation: runs the version, passes it on, tells how all fared.
-pub async fn on_activate(d: &Arc<Daemon>, what: VersionRef, rest: Vec<HostKey>) -> Response {
-    d.versions.add_version_ref(what);
-    let actions = d.versions.on(Event::Activated(what.version));
+/// Answers an activation: runs the version, relays the activation, and reports the result of every
+/// host.
+pub async fn on_activate(d: &Arc<Daemon>, version_ref: VersionRef, rest: Vec<HostKey>) -> Response {
+    d.versions.add_version_ref(version_ref);
+    let actions = d.versions.on(Event::Activated(version_ref.version));
     stage::perform(d, actions, None);
-    let mut fates = spread(d, &rest, |rest| Ask::Activate { what, rest }, RELAY_TIME).await;
-    fates.push((d.me, ran(d, what.version)));
+    let mut fates =
+        send_to_all(d, &rest, |rest| Request::Activate { what: version_ref, rest }, RELAY_TIMEOUT)
+            .await;
+    fates.push((d.me, activation_fate(d, version_ref.version)));
     Response::Fates(fates)
 }
 
-async fn hold_offered(d: &Arc<Daemon>, what: VersionRef, origin: HostKey) -> Fate {
-    d.versions.add_version_ref(what);
-    // The origin holds the version whole; the relay in between may lack what
-    // only this proxy selects.
+async fn stage_offered(d: &Arc<Daemon>, version_ref: VersionRef, origin: HostKey) -> Fate {
+    d.versions.add_version_ref(version_ref);
+    // The origin has staged the complete version; the relay in between may lack
+    // objects that only this proxy needs.
     let source = ObjectSource::Peers(d.members.address(origin).into_iter().collect());
-    match stage::hold(d, what, &source, Scope::Selected).await {
+    match stage::stage_version(d, version_ref, &source, Scope::Selected).await {
         Ok(()) => Fate::Done,
         Err(err) if err.is_invalid() => Fate::Refused(err.to_string()),
         Err(_) => Fate::Late,
     }
 }
 
-fn withhold(d: &Arc<Daemon>, version: Version, promotion: &Promotion) {
-    for (host, why) in promotion.refusals() {
+fn record_refusals(d: &Arc<Daemon>, version: Version, promotion: &Promotion) {
+    for (host, reason) in promotion.refusals() {
         let name = d.members.get(*host).map_or_else(String::new, |record| record.name);
-        log::error!("version {version} is withheld: {name} refused it: {why}");
-        d.versions.mark_rejected(version, format!("refused by {name}: {why}"));
+        log::error!("version {version} is withheld: {name} refused it: {reason}");
+        d.versions.mark_rejected(version, format!("refused by {name}: {reason}"));
     }
 }
 
-async fn promised(d: &Arc<Daemon>, version: Version) -> bool {
-    for attempt in 0..PROMISE_ATTEMPTS {
+async fn collect_promises(d: &Arc<Daemon>, version: Version) -> bool {
+    for attempt in 0..MAX_PROMISE_ATTEMPTS {
         if attempt > 0 {
-            smol::Timer::after(PROMISE_PAUSE).await;
+            smol::Timer::after(PROMISE_RETRY_INTERVAL).await;
         }
-        stage::ask_promises(d, version).await;
+        stage::request_promises(d, version).await;
         if d.versions.active_version() >= version {
             return true;
         }
-        let superseded = d.versions.newest().is_some_and(|newest| newest.version > version);
-        if superseded {
+        let is_superseded = d.versions.newest().is_some_and(|newest| newest.version > version);
+        if is_superseded {
             return false;
         }
         log::warn!("version {version}: no majority of witnesses has promised it yet");
@@ -128,31 +132,42 @@
     false
 }
 
-async fn activate(d: &Arc<Daemon>, what: VersionRef, others: &[HostKey], draft: &mut RowDraft) {
-    let fates = spread(d, others, |rest| Ask::Activate { what, rest }, 2 * RELAY_TIME).await;
-    draft.activated(d, &fates);
+async fn activate(
+    d: &Arc<Daemon>,
+    version_ref: VersionRef,
+    others: &[HostKey],
+    draft: &mut RowDraft,
+) {
+    let fates = send_to_all(
+        d,
+        others,
+        |rest| Request::Activate { what: version_ref, rest },
+        2 * RELAY_TIMEOUT,
+    )
+    .await;
+    draft.record_activation(d, &fates);
 }
 
-fn ran(d: &Daemon, version: Version) -> Fate {
+fn activation_fate(d: &Daemon, version: Version) -> Fate {
     match d.versions.running_version() >= version {
         true => Fate::Done,
         false => Fate::Late,
     }
 }
 
-/// Sends a message down the tree and gathers how every host fared.
-async fn spread(
+/// Sends a message along the tree and collects the result of every host.
+async fn send_to_all(
     d: &Arc<Daemon>,
     hosts: &[HostKey],
-    message: impl Fn(Vec<HostKey>) -> Ask,
-    time: Duration,
+    message: impl Fn(Vec<HostKey>) -> Request,
+    timeout: Duration,
 ) -> Vec<(HostKey, Fate)> {
     let tasks: Vec<_> = tree::branches(hosts, FANOUT)
         .into_iter()
         .map(|branch| {
-            let ask = message(branch.rest.clone());
+            let request = message(branch.rest.clone());
             let d = d.clone();
-            exec::spawn(async move { send(&d, branch, ask, time).await })
+            exec::spawn(async move { send_to_branch(&d, branch, request, timeout).await })
         })
         .collect();
     let mut fates = Vec::new();
@@ -162,21 +177,27 @@
     fates
 }
 
-/// Sends to one branch; if its first host fails, to the next in its place.
+/// Sends a message to one branch; if its first host fails, to the next host instead.
 ///
-/// Failure: a relay has died and nobody knows yet. Symptom: all below it miss
-/// the message until they notice by themselves. Each host of the branch is tried
-/// in turn as its head, so one dead relay delays its branch by one time-out.
-async fn send(d: &Arc<Daemon>, branch: Branch, ask: Ask, time: Duration) -> Vec<(HostKey, Fate)> {
+/// Failure: a relay has died and is not yet known to be dead. Symptom: all hosts
+/// of its branch miss the message until they catch up by themselves. The hosts of
+/// the branch are tried in turn as its relay, so one dead relay delays its branch
+/// by one timeout.
+async fn send_to_branch(
+    d: &Arc<Daemon>,
+    branch: Branch,
+    request: Request,
+    timeout: Duration,
+) -> Vec<(HostKey, Fate)> {
     let mut fates = Vec::new();
     let mut branch = branch;
     loop {
         let answer = match d.members.address(branch.child) {
-            Some(to) => peers::ask(d, to, &with_rest(&ask, &branch.rest), time).await.ok(),
+            Some(to) => peers::ask(d, to, &with_rest(&request, &branch.rest), timeout).await.ok(),
             None => None,
         };
-        if let Some(Response::Fates(below)) = answer {
-            fates.extend(below);
+        if let Some(Response::Fates(relayed)) = answer {
+            fates.extend(relayed);
             return fates;
         }
         fates.push((branch.child, Fate::Late));
@@ -185,13 +206,13 @@
     }
 }
 
-fn with_rest(ask: &Ask, rest: &[HostKey]) -> Ask {
+fn with_rest(request: &Request, rest: &[HostKey]) -> Request {
     let rest = rest.to_vec();
-    match ask {
-        Ask::Offer { what, origin, news, .. } => {
-            Ask::Offer { what: *what, origin: *origin, news: news.clone(), rest }
+    match request {
+        Request::Offer { what, origin, news, .. } => {
+            Request::Offer { what: *what, origin: *origin, news: news.clone(), rest }
         }
-        Ask::Activate { what, .. } => Ask::Activate { what: *what, rest },
+        Request::Activate { what, .. } => Request::Activate { what: *what, rest },
         other => other.clone(),
     }
 }
--- a/src/daemon/reader.rs
+++ b/src/daemon/reader.rs
@@ -1,9 +1,9 @@
-//! Reading the platform for a failure domain.
+//! The reader of a failure domain, which reads the platform for all its daemons.
 //!
 //! One daemon of each failure domain holds the reader lease, watches the head
-//! and rolls out what it finds. The lease only keeps the platform's load small.
-//! Whoever reads without it, such as a reader that was frozen past its end,
-//! learns a true head and can do no harm.
+//! and promotes each new version. The lease only limits the load on the platform.
+//! A daemon that reads without it, such as a reader that was frozen until after
+//! its lease expired, still reads a valid head and does no harm.
 
 use super::promotion;
 use super::sources::ObjectSource;
@@ -21,102 +21,102 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Time that a reader lease lasts.
-const LEASE_TIME: Duration = Duration::from_secs(2);
+/// Time to live of the reader lease.
+const LEASE_TTL: Duration = Duration::from_secs(2);
 /// Time between two keep-alives.
-const KEEP_ALIVE: Duration = Duration::from_millis(650);
-/// Members that try for the lease: the first by key, and one in reserve.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(650);
+/// Number of members that try to acquire the lease: the first by key, and one in reserve.
 const CANDIDATES: usize = 2;
-/// Time between two looks whether to try for the lease.
-const CANDIDATE_STEP: Duration = Duration::from_millis(400);
-/// First and longest pause after the platform failed.
-const BACK_OFF: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(1200));
-/// Time between two writes of the roster.
-const ROSTER_EVERY: Duration = Duration::from_secs(2);
-/// Time between two reads of the head in spite of the watch, for a watch that
-/// has silently died.
-const REREAD_EVERY: Duration = Duration::from_secs(5);
-/// Addresses in a roster.
-const ROSTER_SIZE: usize = 8;
-/// Least time between two reads of the head for others.
-const FRESH_SPACING: Duration = Duration::from_millis(20);
+/// Mean time between two checks whether to try to acquire the lease.
+const CANDIDATE_INTERVAL: Duration = Duration::from_millis(400);
+/// First and longest backoff after a failure of the platform, before jitter.
+const BACKOFF: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(1200));
+/// Minimum time between two writes of the roster.
+const ROSTER_INTERVAL: Duration = Duration::from_secs(2);
+/// Time without a change from the watch after which the head is read again, in
+/// case the watch has failed without an error.
+const REREAD_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum number of members whose addresses are in a roster.
+const MAX_ROSTER_MEMBERS: usize = 8;
+/// Minimum time between the starts of two reads of the head for other daemons.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One failure domain's roster, as the platform keeps it.
+/// Members and services of one failure domain, as stored on the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Roster {
-    /// Mesh addresses for the own failure domain.
+    /// Mesh addresses of members, for daemons of the same failure domain.
     pub near: Vec<SocketAddr>,
-    /// Mesh addresses for other failure domains.
+    /// Mesh addresses of members, for daemons of other failure domains.
     pub far: Vec<SocketAddr>,
-    /// Services ever announced there.
+    /// Services ever announced in the failure domain.
     pub services: BTreeSet<String>,
 }
 
-/// The reader's state of one daemon.
+/// State of one daemon as a reader.
 #[derive(Default)]
 pub struct State {
     lease: Mutex<Option<Lease>>,
-    /// The latest head read, with the time its read began.
+    /// Result of the latest read of the head, with the time when the read began.
     last_head: Mutex<Option<(Instant, Option<VersionRef>)>>,
-    /// Held while the head is read for others.
-    reading: smol::lock::Mutex<()>,
+    /// Held while the head is read for other daemons, so that reads do not overlap.
+    read_lock: smol::lock::Mutex<()>,
 }
 
-/// Tries for the lease when it is this daemon's turn, and reads while it has it.
+/// Tries to acquire the lease while this daemon is a candidate, and reads while it holds it.
 pub async fn run(d: Arc<Daemon>) {
-    let mut pause = BACK_OFF.0;
+    let mut pause = BACKOFF.0;
     loop {
-        smol::Timer::after(spread(CANDIDATE_STEP)).await;
+        smol::Timer::after(jitter(CANDIDATE_INTERVAL)).await;
         if !is_candidate(&d) || d.is_leaving() {
             continue;
         }
-        match hold_lease(&d).await {
-            Ok(()) => pause = BACK_OFF.0,
+        match read_under_lease(&d).await {
+            Ok(()) => pause = BACKOFF.0,
             Err(err) => {
-                log::warn!("reader: {err}");
+                log::warn!("reader: platform error: {err}");
                 d.metrics.incr("platform.failed");
-                smol::Timer::after(spread(pause)).await;
-                pause = (pause * 2).min(BACK_OFF.1);
+                smol::Timer::after(jitter(pause)).await;
+                pause = (pause * 2).min(BACKOFF.1);
             }
         }
     }
 }
 
-/// Gives the lease back, so that another daemon need not wait for its end.
+/// Revokes the lease, so that another daemon need not wait until it expires.
 pub async fn release(d: &Daemon) {
     let lease = lock(&d.reader.lease).take();
     if let Some(lease) = lease {
-        let _ends_anyway = d.store.revoke(lease).await;
+        let _expires_anyway = d.store.revoke(lease).await;
     }
 }
 
-/// Returns the head by a read that begins after this call, if this daemon is a
-/// reader and the platform answers; version zero where nothing was accepted yet.
+/// Returns the head from a read that begins after this call, if this daemon is a
+/// reader and the platform answers; version zero before the first accept.
 ///
-/// Requests that come while a read is under way share the next one, so that a
-/// herd of fresh daemons costs the platform a few reads.
+/// Requests that arrive during a read share the next read, so that many daemons
+/// that start at once cause only a few reads of the platform.
 pub async fn fresh_head(d: &Arc<Daemon>) -> Option<VersionRef> {
     if lock(&d.reader.lease).is_none() {
         return None;
     }
-    let asked = d.clock.now();
-    let _turn = d.reader.reading.lock().await;
+    let requested_at = d.clock.now();
+    let _guard = d.reader.read_lock.lock().await;
     let last = *lock(&d.reader.last_head);
     if let Some((began, head)) = last {
-        if began >= asked {
-            return Some(head.unwrap_or_else(nothing_yet));
+        if began >= requested_at {
+            return Some(head.unwrap_or_else(empty_head));
         }
         let since = d.clock.now().saturating_duration_since(began);
-        if since < FRESH_SPACING {
-            smol::Timer::after(FRESH_SPACING - since).await;
+        if since < MIN_READ_INTERVAL {
+            smol::Timer::after(MIN_READ_INTERVAL - since).await;
         }
     }
     let head = read_head(d).await.ok()?;
-    Some(head.unwrap_or_else(nothing_yet))
+    Some(head.unwrap_or_else(empty_head))
 }
 
-/// Reads the head for this daemon itself.
+/// Reads the head from the platform and passes it to the state machine of this daemon.
 ///
 /// # Errors
 ///
@@ -124,140 +124,142 @@
 pub async fn read_head(d: &Arc<Daemon>) -> Result<Option<VersionRef>, PlatformError> {
     let began = d.clock.now();
     let pair = d.store.get(keys::HEAD).await?;
-    let what = pair.as_ref().map(parse_head).transpose()?.flatten();
-    *lock(&d.reader.last_head) = Some((began, what));
-    let actions = d.versions.on(Event::HeadRead(what.map_or(0, |what| what.version)));
-    if let Some(what) = what {
-        d.versions.add_version_ref(what);
+    let version_ref = pair.as_ref().map(parse_head).transpose()?.flatten();
+    *lock(&d.reader.last_head) = Some((began, version_ref));
+    let actions =
+        d.versions.on(Event::HeadRead(version_ref.map_or(0, |version_ref| version_ref.version)));
+    if let Some(version_ref) = version_ref {
+        d.versions.add_version_ref(version_ref);
     }
     super::stage::perform(d, actions, None);
-    Ok(what)
+    Ok(version_ref)
 }
 
-/// The head before the first version: a floor like any other.
-fn nothing_yet() -> VersionRef {
+/// Returns the head before the first accept. Version zero is a valid floor.
+fn empty_head() -> VersionRef {
     VersionRef { version: 0, root: ObjectHash::of(b""), accepted_ms: 0 }
 }
 
-/// Returns whether this daemon may try for the lease: nobody live claims it, and
-/// it is among the first by key.
+/// Returns whether this daemon may try to acquire the lease: no other live member
+/// is a reader, and this daemon is among the first [`CANDIDATES`] by key.
 fn is_candidate(d: &Daemon) -> bool {
     let mut hosts: Vec<HostKey> = d.members.others();
     hosts.push(d.me);
     hosts.sort_unstable();
-    let reader_lives = hosts
+    let has_live_reader = hosts
         .iter()
         .filter(|host| **host != d.me)
         .filter_map(|host| d.members.get(*host))
         .any(|record| record.reader);
-    !reader_lives && hosts.iter().take(CANDIDATES).any(|host| *host == d.me)
+    !has_live_reader && hosts.iter().take(CANDIDATES).any(|host| *host == d.me)
 }
 
-async fn hold_lease(d: &Arc<Daemon>) -> Result<(), PlatformError> {
+async fn read_under_lease(d: &Arc<Daemon>) -> Result<(), PlatformError> {
     let key = keys::reader(&d.settings.failure_domain);
     if d.store.get(&key).await?.is_some() {
         return Ok(());
     }
-    let lease = d.store.grant(LEASE_TIME).await?;
+    let lease = d.store.grant(LEASE_TTL).await?;
     let swapped =
         d.store.swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease)).await;
     if swapped != Ok(Swap::Done) {
-        // A lost answer counts as lost: the lease is given up, and with it the
-        // key, whoever has it.
-        let _ends_anyway = d.store.revoke(lease).await;
+        // If the response was lost, the swap may have taken effect. Revoking the
+        // lease also deletes the key if it was last_written.
+        let _expires_anyway = d.store.revoke(lease).await;
         return swapped.map(|_| ());
     }
     *lock(&d.reader.lease) = Some(lease);
     d.members.update_own(d, |own| own.reader = true);
-    log::info!("reader of {}", d.settings.failure_domain);
-    let keeping = keep(d, lease);
-    let reading = read(d);
+    log::info!("acquired the reader lease of {}", d.settings.failure_domain);
+    let keeping = keep_lease(d, lease);
+    let reading = watch_head(d);
     let ended = smol::future::or(keeping, reading).await;
     lock(&d.reader.lease).take();
     d.members.update_own(d, |own| own.reader = false);
     ended
 }
 
-async fn keep(d: &Arc<Daemon>, lease: Lease) -> Result<(), PlatformError> {
+async fn keep_lease(d: &Arc<Daemon>, lease: Lease) -> Result<(), PlatformError> {
     let mut roster = Roster::default();
-    let mut written = None::<Instant>;
+    let mut last_written = None::<Instant>;
     let mut failing_since = None::<Instant>;
     loop {
-        smol::Timer::after(KEEP_ALIVE).await;
+        smol::Timer::after(KEEP_ALIVE_INTERVAL).await;
         match d.store.keep_alive(lease).await {
             Ok(true) => failing_since = None,
             Ok(false) => {
-                log::warn!("reader lease ended; another daemon may read");
+                log::warn!("reader lease expired; another daemon may become the reader");
                 return Ok(());
             }
             Err(err) => {
                 let now = d.clock.now();
                 let since = *failing_since.get_or_insert(now);
-                if now.saturating_duration_since(since) > LEASE_TIME {
+                if now.saturating_duration_since(since) > LEASE_TTL {
                     return Err(err);
                 }
             }
         }
-        let due = written.is_none_or(|at| d.clock.now() >= at + ROSTER_EVERY);
-        let now_is = current_roster(d);
-        if due && now_is != roster && write_roster(d, &now_is).await.is_ok() {
-            written = Some(d.clock.now());
-            roster = now_is;
+        let is_due = last_written.is_none_or(|at| d.clock.now() >= at + ROSTER_INTERVAL);
+        let current = current_roster(d);
+        if is_due && current != roster && write_roster(d, &current).await.is_ok() {
+            last_written = Some(d.clock.now());
+            roster = current;
         }
     }
 }
 
-/// Watches the head; returns when the watch ends.
-async fn read(d: &Arc<Daemon>) -> Result<(), PlatformError> {
+/// Watches the head and promotes each new version; returns when the watch fails.
+async fn watch_head(d: &Arc<Daemon>) -> Result<(), PlatformError> {
     let mut watch = d.store.watch(keys::HEAD).await?;
     load_catalog(d).await?;
-    // Read after the watch is in place, so that no change falls in between.
+    // The head is read after the watch is set up, so that no change is missed.
     let mut newest = read_head(d).await?;
     let (tx, rx) = smol::channel::unbounded::<VersionRef>();
-    let rolling = roll_out_all(d, rx);
+    let promoting = promote_heads(d, rx);
     let watching = async {
         loop {
-            if let Some(what) = newest.take() {
-                let _receiver_lives = tx.try_send(what);
+            if let Some(version_ref) = newest.take() {
+                let _receiver_is_alive = tx.try_send(version_ref);
             }
-            match exec::timeout(REREAD_EVERY, watch.next()).await {
+            match exec::timeout(REREAD_INTERVAL, watch.next()).await {
                 Some(changes) => {
-                    newest = head_in(&changes?)?.inspect(|what| d.versions.add_version_ref(*what))
+                    newest = newest_head(&changes?)?
+                        .inspect(|version_ref| d.versions.add_version_ref(*version_ref))
                 }
                 None => newest = read_head(d).await?,
             }
         }
     };
-    smol::future::or(watching, rolling).await
+    smol::future::or(watching, promoting).await
 }
 
-/// Rolls out each new head, the newest first when several wait.
-async fn roll_out_all(
+/// Promotes each new head; of several that wait, only the newest.
+async fn promote_heads(
     d: &Arc<Daemon>,
     rx: smol::channel::Receiver<VersionRef>,
 ) -> Result<(), PlatformError> {
-    let mut done: Version = 0;
-    while let Ok(mut what) = rx.recv().await {
+    let mut newest_done: Version = 0;
+    while let Ok(mut version_ref) = rx.recv().await {
         while let Ok(newer) = rx.try_recv() {
-            what = newer;
+            version_ref = newer;
         }
-        d.versions.add_version_ref(what);
-        let unfinished = d.versions.active_version() < what.version;
-        if what.version <= done && !unfinished {
+        d.versions.add_version_ref(version_ref);
+        let is_unfinished = d.versions.active_version() < version_ref.version;
+        if version_ref.version <= newest_done && !is_unfinished {
             continue;
         }
-        if let Err(err) = promotion::run(d, what, &ObjectSource::Platform).await {
-            log::error!("version {} is not offered: {err}", what.version);
+        if let Err(err) = promotion::run(d, version_ref, &ObjectSource::Platform).await {
+            log::error!("version {} is not offered: {err}", version_ref.version);
             if !err.is_invalid() {
                 continue;
             }
         }
-        done = done.max(what.version);
+        newest_done = newest_done.max(version_ref.version);
     }
     Ok(())
 }
 
-fn head_in(changes: &[Change]) -> Result<Option<VersionRef>, PlatformError> {
+fn newest_head(changes: &[Change]) -> Result<Option<VersionRef>, PlatformError> {
     let puts = changes.iter().filter_map(|change| match change {
         Change::Put(pair) if pair.key == keys::HEAD => Some(pair),
         _ => None,
@@ -275,7 +277,7 @@
     }))
 }
 
-/// Learns from the rosters which services exist.
+/// Adds the services listed in the rosters of all failure domains to the catalog.
 async fn load_catalog(d: &Arc<Daemon>) -> Result<(), PlatformError> {
     for pair in d.store.list(keys::ROSTERS, false).await? {
         if let Ok(roster) = serde_json::from_slice::<Roster>(&pair.value) {
@@ -293,7 +295,7 @@
         .filter(|record| record.is_live() && record.domain == d.settings.failure_domain)
         .collect();
     records.sort_by_key(|record| record.host);
-    records.truncate(ROSTER_SIZE);
+    records.truncate(MAX_ROSTER_MEMBERS);
     Roster {
         near: records.iter().map(|record| record.near).collect(),
         far: records.iter().map(|record| record.far).collect(),
@@ -306,7 +308,7 @@
     d.store.put_many(&[(keys::roster(&d.settings.failure_domain), buf)]).await
 }
 
-/// Spreads a pause over half to one and a half times its length.
-fn spread(pause: Duration) -> Duration {
+/// Returns a random duration between half and one and a half times `pause`.
+fn jitter(pause: Duration) -> Duration {
     pause.mul_f64(0.5 + fastrand::f64())
 }
--- a/src/daemon/record.rs
+++ b/src/daemon/record.rs
@@ -1,28 +1,28 @@
-//! The delivery record: what became of each version in this failure domain.
+//! The delivery record: how each version was delivered in this failure domain.
 //!
-//! The daemon that rolled a version out makes a row, hands copies to a few other
-//! members, and writes all new rows to the platform in one call. Rows are named
-//! by version and domain, so that whoever writes them, however often, they are
-//! there once.
+//! The daemon that promotes a version creates a row and sends copies to a few
+//! other members. The reader writes all new rows to the platform in one call. The
+//! key of a row consists of its version and domain, so a row is stored once, no
+//! matter which daemons write it and how often.
 
 use super::{Daemon, lock, peers};
 use crate::store::{Platform, keys};
 use cicadashift_core::delivery::promotion::Promotion;
 use cicadashift_core::ids::{HostKey, Version};
-use cicadashift_wire::rpc::{Fate, RecordRow, Request as Ask, VersionRef};
+use cicadashift_wire::rpc::{Fate, RecordRow, Request, VersionRef};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Time between two writes to the platform.
-const FLUSH_EVERY: Duration = Duration::from_secs(5);
-/// Members that hold copies of rows not written yet.
+/// Mean time between two writes to the platform.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(5);
+/// Number of other members that receive a copy of a row when it is created.
 const COPIES: usize = 3;
-/// Rows kept in memory.
-const KEPT: usize = 1024;
-/// Time for handing rows to a member.
-const COPY_TIME: Duration = Duration::from_millis(500);
+/// Maximum number of rows kept in memory.
+const MAX_ROWS: usize = 1024;
+/// Time limit for sending rows to a member.
+const COPY_TIMEOUT: Duration = Duration::from_millis(500);
 
 type RowKey = (Version, String);
 
@@ -32,24 +32,24 @@
     unwritten: BTreeSet<RowKey>,
 }
 
-/// Rows that this daemon holds.
+/// Rows of the delivery record that this daemon keeps in memory.
 #[derive(Default)]
 pub struct DeliveryRecord {
     inner: Mutex<Inner>,
 }
 
-/// A row in the making.
+/// A row of a version that is still being delivered.
 pub struct RowDraft {
     row: RecordRow,
 }
 
 impl RowDraft {
-    /// Begins a row when a version is seen.
-    pub fn new(d: &Daemon, what: VersionRef) -> RowDraft {
+    /// Creates the row when this daemon starts to promote a version.
+    pub fn new(d: &Daemon, version_ref: VersionRef) -> RowDraft {
         let row = RecordRow {
-            version: what.version,
+            version: version_ref.version,
             domain: d.settings.failure_domain.clone(),
-            accepted_ms: what.accepted_ms,
+            accepted_ms: version_ref.accepted_ms,
             seen_ms: d.clock.wall_ms(),
             staged_ms: None,
             run_ms: None,
@@ -60,24 +60,24 @@
         RowDraft { row }
     }
 
-    /// Notes how the offer went.
-    pub fn staged(&mut self, d: &Daemon, offered: &[HostKey], promotion: &Promotion) {
+    /// Records the result of the offer.
+    pub fn record_offer(&mut self, d: &Daemon, offered: &[HostKey], promotion: &Promotion) {
         self.row.offered = offered.len() as u32 + 1;
-        for host in offered.iter().filter(|host| !promotion.holding().contains(host)) {
-            let why = promotion.refusals().get(host).map_or("late", |why| why.as_str());
-            self.row.late.push((name(d, *host), why.to_string()));
+        for host in offered.iter().filter(|host| !promotion.staged().contains(host)) {
+            let reason = promotion.refusals().get(host).map_or("late", |reason| reason.as_str());
+            self.row.late.push((host_name(d, *host), reason.to_string()));
         }
         if self.row.late.is_empty() {
             self.row.staged_ms = Some(d.clock.wall_ms());
         }
     }
 
-    /// Notes how the activation went.
-    pub fn activated(&mut self, d: &Daemon, fates: &[(HostKey, Fate)]) {
+    /// Records the result of the activation.
+    pub fn record_activation(&mut self, d: &Daemon, fates: &[(HostKey, Fate)]) {
         for (host, _) in fates.iter().filter(|(_, fate)| *fate != Fate::Done) {
-            let name = name(d, *host);
-            if !self.row.late.iter().any(|(late, _)| *late == name) {
-                self.row.late.push((name, "did not run it in time".to_string()));
+            let host_name = host_name(d, *host);
+            if !self.row.late.iter().any(|(late, _)| *late == host_name) {
+                self.row.late.push((host_name, "did not run it in time".to_string()));
             }
         }
         if self.row.late.is_empty() {
@@ -87,16 +87,16 @@
 }
 
 impl DeliveryRecord {
-    /// Makes an empty record.
+    /// Creates an empty record.
     pub fn new() -> DeliveryRecord {
         DeliveryRecord::default()
     }
 
-    /// Keeps a finished row and hands copies out.
+    /// Stores a finished row and sends copies to other members.
     pub fn finish(&self, d: &Arc<Daemon>, draft: RowDraft) {
         let mut row = draft.row;
-        let before = row.control_bytes;
-        row.control_bytes = d.costs.control_bytes().saturating_sub(before);
+        let bytes_before = row.control_bytes;
+        row.control_bytes = d.costs.control_bytes().saturating_sub(bytes_before);
         self.add(vec![row.clone()]);
         let mut others = d.members.others();
         fastrand::shuffle(&mut others);
@@ -106,13 +106,13 @@
             let (d, rows) = (d.clone(), vec![row.clone()]);
             cicadashift_http::exec::spawn(async move {
                 let _other_copies_exist =
-                    peers::ask(&d, to, &Ask::Record { rows }, COPY_TIME).await;
+                    peers::ask(&d, to, &Request::Record { rows }, COPY_TIMEOUT).await;
             })
             .detach();
         }
     }
 
-    /// Takes rows in.
+    /// Adds rows as not yet written, and drops the oldest versions beyond `MAX_ROWS`.
     pub fn add(&self, rows: Vec<RecordRow>) {
         let mut inner = lock(&self.inner);
         for row in rows {
@@ -120,7 +120,7 @@
             inner.unwritten.insert(key.clone());
             inner.rows.insert(key, row);
         }
-        while inner.rows.len() > KEPT {
+        while inner.rows.len() > MAX_ROWS {
             if let Some((key, _)) = inner.rows.pop_first() {
                 inner.unwritten.remove(&key);
             }
@@ -139,7 +139,7 @@
         inner.unwritten.iter().filter_map(|key| inner.rows.get(key)).cloned().collect()
     }
 
-    fn written(&self, rows: &[RecordRow]) {
+    fn mark_written(&self, rows: &[RecordRow]) {
         let mut inner = lock(&self.inner);
         for row in rows {
             inner.unwritten.remove(&(row.version, row.domain.clone()));
@@ -147,23 +147,23 @@
     }
 }
 
-/// Writes new rows now and then.
+/// Writes new rows, or sends them to the reader, at each interval.
 pub async fn run(d: Arc<Daemon>) {
     loop {
-        smol::Timer::after(FLUSH_EVERY.mul_f64(0.8 + 0.4 * fastrand::f64())).await;
-        // The reader writes; others keep their copies until it has.
+        smol::Timer::after(FLUSH_INTERVAL.mul_f64(0.8 + 0.4 * fastrand::f64())).await;
+        // Only the reader writes; other daemons keep their rows until the reader has them.
         if d.members.own().reader {
             flush(&d).await;
         } else {
-            drop_written(&d).await;
+            send_unwritten_to_reader(&d).await;
         }
     }
 }
 
 /// Writes the rows that are not written yet, in one call.
 ///
-/// A row whose write is lost is written again under the same key, so it is
-/// there once.
+/// A row whose write fails is written again under the same key, so it is stored
+/// once.
 pub async fn flush(d: &Daemon) {
     let rows = d.delivery_record.unwritten();
     if rows.is_empty() {
@@ -171,8 +171,8 @@
     }
     let pairs: Vec<_> = rows.iter().map(|row| (row_key(row), encode(row))).collect();
     match d.store.put_many(&pairs).await {
-        Ok(()) => d.delivery_record.written(&rows),
-        Err(err) => log::warn!("delivery record: {} rows wait: {err}", rows.len()),
+        Ok(()) => d.delivery_record.mark_written(&rows),
+        Err(err) => log::warn!("delivery record: {} rows not written yet: {err}", rows.len()),
     }
 }
 
@@ -182,28 +182,29 @@
     format!("{}{quarter}/{:012}/{}", keys::RECORDS, row.version, row.domain)
 }
 
-/// Returns the quarter of a time, such as `2026Q4`.
+/// Returns the quarter of a time in milliseconds since 1970, such as `2026Q4`.
 pub fn quarter_of(ms: u64) -> String {
     const DAY_MS: u64 = 86_400_000;
     let (year, month) = year_and_month((ms / DAY_MS) as i64);
     format!("{year}Q{}", (month - 1) / 3 + 1)
 }
 
-/// Hands unwritten copies to the reader, if there is one.
+/// Sends the unwritten rows to the reader, if there is one.
 ///
-/// Failure: the daemon that made a row dies before it is written. Symptom: the
-/// quarter lacks a row. Those who hold a copy pass it to the next reader, and
-/// the row's key makes the repetition harmless.
-async fn drop_written(d: &Arc<Daemon>) {
+/// Failure: the daemon that created a row dies before the row is written.
+/// Symptom: the record of the quarter lacks a row. The daemons with a copy send
+/// it to the next reader, and duplicates are harmless because the key of the row
+/// is the same.
+async fn send_unwritten_to_reader(d: &Arc<Daemon>) {
     let rows = d.delivery_record.unwritten();
     if rows.is_empty() {
         return;
     }
     let readers = d.members.others().into_iter().filter_map(|host| d.members.get(host));
     let Some(reader) = readers.into_iter().find(|record| record.reader) else { return };
-    let ask = Ask::Record { rows: rows.clone() };
-    if peers::ask(d, reader.near, &ask, COPY_TIME).await.is_ok() {
-        d.delivery_record.written(&rows);
+    let request = Request::Record { rows: rows.clone() };
+    if peers::ask(d, reader.near, &request, COPY_TIMEOUT).await.is_ok() {
+        d.delivery_record.mark_written(&rows);
     }
 }
 
@@ -211,13 +212,14 @@
     serde_json::to_vec(row).unwrap_or_default()
 }
 
-fn name(d: &Daemon, host: HostKey) -> String {
+fn host_name(d: &Daemon, host: HostKey) -> String {
     d.members.get(host).map_or_else(|| format!("{:016x}", host.0), |record| record.name)
 }
 
 /// Returns the year and month of a day counted from 1970-01-01.
 ///
-/// The usual conversion over eras of 400 years, with years that begin in March.
+/// Counts in eras of 400 years, with years that begin in March, so that a leap day
+/// is the last day of its year.
 fn year_and_month(days: i64) -> (i64, i64) {
     let shifted = days + 719_468;
     let era = shifted.div_euclid(146_097);
