--- a/src/daemon/reader.rs
+++ b/src/daemon/reader.rs
@@ -164,7 +164,7 @@
         d.store.swap(&key, Revision::ABSENT, d.settings.host.as_bytes(), Some(lease)).await;
     if swapped != Ok(Swap::Done) {
         // If the response was lost, the swap may have taken effect. Revoking the
-        // lease also deletes the key if it was last_written.
+        // lease also deletes the key if it was written.
         let _expires_anyway = d.store.revoke(lease).await;
         return swapped.map(|_| ());
     }
