--- a/spec/src/head.rs
+++ b/spec/src/head.rs
@@ -1,10 +1,10 @@
 //! Model of the total order of versions, with concurrent operators and lost answers.
 //!
-//! Clients run the production code of [`settle`] and [`Head::successor`]. The store is
+//! Clients run the production code of [`resolve_outcome`] and [`Head::successor`]. The store is
 //! modelled by its documented contract: a compare-and-swap takes effect or not, and its
 //! answer may be lost in both cases.
 
-use cicadashift_core::delivery::head::{Head, Settled, settle};
+use cicadashift_core::delivery::head::{Head, OperationOutcome, resolve_outcome};
 use cicadashift_core::ids::{ObjectHash, Version};
 
 /// Safeguards that an exploration can switch off.
@@ -105,12 +105,12 @@
         let head = to_head(&self.head);
         let base_version = base.unwrap_or(head.version);
         let settled = match (base, self.guards.settle_by_id) {
-            (Some(base), true) => settle(&head, &op_id(i), base),
-            _ => Ok(Settled::Retry),
+            (Some(base), true) => resolve_outcome(&head, &op_id(i), base),
+            _ => Ok(OperationOutcome::Retry),
         };
         next.clients[i] = match settled {
-            Ok(Settled::Done(_)) => Client::Done,
-            Ok(Settled::Retry) => Client::Ready {
+            Ok(OperationOutcome::Done(_)) => Client::Done,
+            Ok(OperationOutcome::Retry) => Client::Ready {
                 base: base_version,
                 revision: self.revision,
                 head: self.head.clone(),
--- a/spec/src/lib.rs
+++ b/spec/src/lib.rs
@@ -35,7 +35,7 @@
 //! [`head`] explores the other part of the protocol: the total order of versions.
 
 use cicadashift_core::delivery::node::{Action, Event, Guards, Node};
-use cicadashift_core::delivery::witness::{Panel, Testimonies, Testimony};
+use cicadashift_core::delivery::witness::{Testimonies, Testimony, WitnessSet};
 use cicadashift_core::ids::{HostKey, Incarnation, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -163,8 +163,8 @@
         };
         for i in 0..bounds.hosts {
             state.event(i, Event::HeadRead(1));
-            state.event(i, Event::Held(1));
-            state.event(i, Event::PromiseAsked(1));
+            state.event(i, Event::Staged(1));
+            state.event(i, Event::PromiseRequested(1));
             state.event(i, Event::Activated(1));
         }
         state.promises = Rc::default();
@@ -216,7 +216,7 @@
             steps.extend((0..self.answers.len()).map(|n| Step::Hear(i, n)));
         }
         if self.bounds.hold_as_step {
-            let versions = (1..=self.head).filter(|version| *version > node.held());
+            let versions = (1..=self.head).filter(|version| *version > node.newest_staged());
             steps.extend(versions.map(|version| Step::Hold(i, version)));
         }
         let versions = (1..=self.head).filter(|version| *version > node.promised());
@@ -235,12 +235,12 @@
                 (0..self.bounds.hosts).for_each(|i| self.mark_all_held(i));
             }
             Step::ReadHead(i) => self.event(i, Event::HeadRead(self.head)),
-            Step::AskPromise(i, version) => self.event(i, Event::PromiseAsked(version)),
-            Step::Hold(i, version) => self.event(i, Event::Held(version)),
+            Step::AskPromise(i, version) => self.event(i, Event::PromiseRequested(version)),
+            Step::Hold(i, version) => self.event(i, Event::Staged(version)),
             Step::AskFloor { from, to } => self.ask_floor(from, to),
             Step::Hear(i, n) => {
                 if let Some(testimony) = self.answers.iter().nth(n).map(Testimony::from) {
-                    self.event(i, Event::Testified(testimony));
+                    self.event(i, Event::TestimonyReceived(testimony));
                 }
             }
             Step::Count(a, b) => self.count(a, b),
@@ -251,12 +251,12 @@
 
     fn ask_floor(&mut self, from: u64, to: u64) {
         let life = self.incarnations[from as usize];
-        let event = Event::FloorAsked { from: HostKey(from), life };
+        let event = Event::FloorRequested { from: HostKey(from), life };
         let actions = Rc::make_mut(&mut self.nodes[to as usize]).on(event);
         for action in actions {
-            if let Action::Testify(testimony) = action {
+            if let Action::SendTestimony(testimony) = action {
                 self.record_testimony(testimony.clone().into());
-                self.event(from, Event::Testified(testimony));
+                self.event(from, Event::TestimonyReceived(testimony));
             }
         }
     }
@@ -268,7 +268,7 @@
                 testimonies.add(Testimony::from(testimony));
             }
         }
-        let active = testimonies.active(&panel(self.bounds), self.guards.check_lives);
+        let active = testimonies.active(&panel(self.bounds), self.guards.check_incarnations);
         if active > 0 {
             self.active.insert(active);
         }
@@ -285,7 +285,7 @@
 
     fn mark_all_held(&mut self, i: u64) {
         if !self.bounds.hold_as_step {
-            (1..=self.head).for_each(|version| self.event(i, Event::Held(version)));
+            (1..=self.head).for_each(|version| self.event(i, Event::Staged(version)));
         }
     }
 
@@ -293,17 +293,17 @@
         let slot = i as usize;
         for action in Rc::make_mut(&mut self.nodes[slot]).on(event) {
             match action {
-                Action::Testify(testimony) => self.record_testimony(testimony.into()),
+                Action::SendTestimony(testimony) => self.record_testimony(testimony.into()),
                 Action::Run(version) => self.check_run(i, version),
                 // The steps that these actions ask for are possible at any time anyway.
-                Action::Stage(_) | Action::AskPromises(_) | Action::Decline => {}
+                Action::Stage(_) | Action::RequestPromises(_) | Action::Decline => {}
             }
         }
         let node = &self.nodes[slot];
         if node.active() > 0 {
             self.active.insert(node.active());
         }
-        if node.promised() > node.held().max(node.running()) {
+        if node.promised() > node.newest_staged().max(node.running()) {
             self.violation = Some(Violation::PromisedWithoutHolding { host: i });
         }
     }
@@ -387,8 +387,8 @@
     steps_taken.collect()
 }
 
-fn panel(bounds: Bounds) -> Panel {
-    Panel::new((0..bounds.hosts).map(HostKey))
+fn panel(bounds: Bounds) -> WitnessSet {
+    WitnessSet::new((0..bounds.hosts).map(HostKey))
 }
 
 fn fresh_node(bounds: Bounds, guards: Guards, i: u64, life: Incarnation) -> Node {
--- a/spec/tests/floor.rs
+++ b/spec/tests/floor.rs
@@ -67,7 +67,7 @@
 
 #[test]
 fn without_the_incarnation_check_a_lost_promise_counts() {
-    let guards = Guards { check_lives: false, ..Guards::ALL };
+    let guards = Guards { check_incarnations: false, ..Guards::ALL };
     insta::assert_snapshot!(render_counterexample(TWO_CRASHES, guards));
 }
 
@@ -79,6 +79,6 @@
 
 #[test]
 fn without_holding_first_a_witness_promises_missing_objects() {
-    let guards = Guards { hold_before_promise: false, ..Guards::ALL };
+    let guards = Guards { stage_before_promise: false, ..Guards::ALL };
     insta::assert_snapshot!(render_counterexample(HOLD_AS_STEP, guards));
 }
