--- a/src/daemon/promotion.rs
+++ b/src/daemon/promotion.rs
@@ -42,8 +42,7 @@
     log::info!("version {}: offered to {} members", version_ref.version, others.len());
     let mut promotion = Promotion::new(version_ref.version, others.iter().copied(), d.clock.now());
     let delta = d.versions.manifest_delta(version_ref);
-    let offer =
-        |rest| Request::Offer { version_ref, origin: d.me, delta: delta.clone(), rest };
+    let offer = |rest| Request::Offer { version_ref, origin: d.me, delta: delta.clone(), rest };
     let fates = send_to_all(d, &others, offer, 2 * RELAY_TIMEOUT).await;
     for (host, fate) in fates {
         match fate {
@@ -88,13 +87,16 @@
     let actions = d.versions.on(Event::Activated(version_ref.version));
     stage::perform(d, actions, None);
     let mut fates =
-        send_to_all(d, &rest, |rest| Request::Activate { version_ref, rest }, RELAY_TIMEOUT)
-            .await;
+        send_to_all(d, &rest, |rest| Request::Activate { version_ref, rest }, RELAY_TIMEOUT).await;
     fates.push((d.me, activation_fate(d, version_ref.version)));
     Response::DeliveryResults(fates)
 }
 
-async fn stage_offered(d: &Arc<Daemon>, version_ref: VersionRef, origin: HostKey) -> DeliveryResult {
+async fn stage_offered(
+    d: &Arc<Daemon>,
+    version_ref: VersionRef,
+    origin: HostKey,
+) -> DeliveryResult {
     d.versions.add_version_ref(version_ref);
     // The origin has staged the complete version; the relay in between may lack
     // objects that only this proxy needs.
@@ -138,13 +140,9 @@
     others: &[HostKey],
     draft: &mut RowDraft,
 ) {
-    let fates = send_to_all(
-        d,
-        others,
-        |rest| Request::Activate { version_ref, rest },
-        2 * RELAY_TIMEOUT,
-    )
-    .await;
+    let fates =
+        send_to_all(d, others, |rest| Request::Activate { version_ref, rest }, 2 * RELAY_TIMEOUT)
+            .await;
     draft.record_activation(d, &fates);
 }
 
@@ -209,10 +207,15 @@
 fn with_rest(request: &Request, rest: &[HostKey]) -> Request {
     let rest = rest.to_vec();
     match request {
-        Request::Offer { version_ref, origin, delta, .. } => {
-            Request::Offer { version_ref: *version_ref, origin: *origin, delta: delta.clone(), rest }
+        Request::Offer { version_ref, origin, delta, .. } => Request::Offer {
+            version_ref: *version_ref,
+            origin: *origin,
+            delta: delta.clone(),
+            rest,
+        },
+        Request::Activate { version_ref, .. } => {
+            Request::Activate { version_ref: *version_ref, rest }
         }
-        Request::Activate { version_ref, .. } => Request::Activate { version_ref: *version_ref, rest },
         other => other.clone(),
     }
 }
