--- a/crates/measure/src/converge.rs
+++ b/crates/measure/src/converge.rs
@@ -6,7 +6,7 @@
 use crate::{Options, Outcome};
 use cicadashift::clock::{Clock, SystemClock};
 use cicadashift_testkit::fleet::{Fleet, Spec};
-use cicadashift_testkit::mesh::{Mesh, PATIENCE};
+use cicadashift_testkit::mesh::{Mesh, WAIT_TIMEOUT};
 use cicadashift_testkit::upstream::Behaviour;
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -52,7 +52,7 @@
     let cost = counters(&mesh).await.since(begun);
     let per_change = cost.without(idle).per(changes as f64);
     let plain = compare(&mut mesh, changes, daemons).await;
-    let reverted = mesh.fleet.reverted();
+    let reverted = mesh.fleet.version_regressions();
     let mut broken = Vec::new();
     if reverted > 0 {
         broken.push("no proxy goes back to an older version");
@@ -130,16 +130,16 @@
         first.then(|| Behaviour::plain("notice", &format!("notice-{}", node.name)))
     })
     .await;
-    eprintln!("{} daemons are up", mesh.fleet.nodes.len());
+    eprintln!("{} daemons are up", mesh.fleet.daemons.len());
     for group in 0..GROUPS {
-        mesh.select(&format!(
+        mesh.set_selector(&format!(
             r#"{{"name": "s{group}", "configs": {{"g": "g{group}"}}, "proxies": {{"group": "g{group}"}}}}"#
         ))
         .await;
         mesh.accept(&config(group, 0)).await.expect("the configuration is accepted");
     }
     let version = mesh.accept(&config(0, 0)).await.expect("the configuration is accepted");
-    let took = mesh.fleet.wait_running(&mesh.all(), version, PATIENCE).await;
+    let took = mesh.fleet.wait_running(&mesh.all(), version, WAIT_TIMEOUT).await;
     assert!(took.is_some(), "the first versions come into force");
     mesh
 }
@@ -174,9 +174,9 @@
     let text = config(group, n + 1);
     let (version, from_ms) = match options.fault.as_str() {
         "platform-outage" => {
-            mesh.platform.fault(|faults| faults.outage = true);
+            mesh.platform.change_faults(|faults| faults.outage = true);
             smol::Timer::after(FAULT_TIME).await;
-            mesh.platform.fault(|faults| faults.outage = false);
+            mesh.platform.change_faults(|faults| faults.outage = false);
             (accept(mesh, &text).await, SystemClock::new().wall_ms())
         }
         "partition" => {
@@ -212,7 +212,7 @@
             (accept(mesh, &text).await, began)
         }
     };
-    let reached = mesh.fleet.wait_running(&mesh.all(), version, PATIENCE).await;
+    let reached = mesh.fleet.wait_running(&mesh.all(), version, WAIT_TIMEOUT).await;
     let mut round = Round {
         times: Times::default(),
         worst: 0.0,
@@ -237,7 +237,7 @@
 
 /// Returns whether a proxy runs exactly the configuration of its group.
 fn is_whole(fleet: &Fleet, i: usize, status: &Value) -> bool {
-    let expected = fleet.nodes[i].group.replace('g', "c");
+    let expected = fleet.daemons[i].group.replace('g', "c");
     status["selected"] == json!([expected])
 }
 
--- a/crates/measure/src/footprint.rs
+++ b/crates/measure/src/footprint.rs
@@ -29,7 +29,7 @@
     let daemons = options.daemons.unwrap_or(60);
     let mesh = converge::start(options, daemons).await;
     let mut all = Vec::new();
-    for node in &mesh.fleet.nodes {
+    for node in &mesh.fleet.daemons {
         let name = format!("first-{}", node.name);
         let behaviour = Behaviour::plain("notice", &name);
         let upstream = Upstream::start(behaviour, node.upstreams, mesh.ledger.clone());
@@ -50,9 +50,9 @@
         "idle": idle,
         "churn": churn,
         "churn_instances_per_s": round(daemons as f64 / INSTANCE_LIFE_S),
-        "reverted": mesh.fleet.reverted(),
+        "reverted": mesh.fleet.version_regressions(),
     });
-    let broken = match mesh.fleet.reverted() {
+    let broken = match mesh.fleet.version_regressions() {
         0 => Vec::new(),
         _ => vec!["no proxy goes back to an older version"],
     };
@@ -66,7 +66,7 @@
     let (mut n, mut changed) = (0, began);
     while began.elapsed() < time {
         let slot = n % all.len();
-        let node = &mesh.fleet.nodes[slot];
+        let node = &mesh.fleet.daemons[slot];
         let _gone = all[slot].leave().await;
         all[slot].kill();
         let behaviour = Behaviour::plain("notice", &format!("next-{n}-{}", node.name));
--- a/crates/measure/src/path.rs
+++ b/crates/measure/src/path.rs
@@ -3,7 +3,7 @@
 use crate::stats::{Times, round};
 use crate::{Options, Outcome, process};
 use cicadashift_http::exec;
-use cicadashift_testkit::caller::{Caller, Got};
+use cicadashift_testkit::caller::{CallOutcome, Caller};
 use cicadashift_testkit::fleet::Spec;
 use cicadashift_testkit::mesh::Mesh;
 use serde_json::json;
@@ -30,7 +30,7 @@
     let mesh = Mesh::serving(spec).await;
     let direct: Vec<_> = mesh.upstreams.iter().map(|up| Arc::new(Caller::new(up.addr))).collect();
     let through: Vec<_> =
-        mesh.fleet.nodes.iter().map(|node| Arc::new(Caller::new(node.callers))).collect();
+        mesh.fleet.daemons.iter().map(|node| Arc::new(Caller::new(node.callers))).collect();
     // Connections and pages warm up outside the figures.
     at_rate(&direct, options.rate, 1, "warm-d").await;
     at_rate(&through, options.rate, 1, "warm-t").await;
@@ -44,7 +44,7 @@
         added.join(at_rate(&through, options.rate, turn, &format!("t{n}")).await);
         cpu_seconds += cpu(&mesh) - before;
     }
-    let doubled = mesh.ledger.doubled();
+    let doubled = mesh.ledger.duplicates();
     let lost = plain.lost + added.lost;
     let mut broken = Vec::new();
     if added.lost > 0 {
@@ -93,7 +93,8 @@
         tasks.push(exec::spawn(async move {
             let sent = Instant::now();
             let call = caller.call("POST", "/notices", &id, b"x").await;
-            let whole = matches!(&call.got, Got::Answer { request, .. } if *request == id);
+            let whole =
+                matches!(&call.outcome, CallOutcome::Answer { request, .. } if *request == id);
             (whole, sent.elapsed())
         }));
     }
--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -8,9 +8,9 @@
 use crate::stats::{Times, round};
 use crate::{Options, Outcome};
 use cicadashift_http::exec;
-use cicadashift_testkit::caller::{Caller, Got};
+use cicadashift_testkit::caller::{CallOutcome, Caller};
 use cicadashift_testkit::fleet::Spec;
-use cicadashift_testkit::mesh::{EVERYWHERE, Mesh};
+use cicadashift_testkit::mesh::{Mesh, SELECT_ALL};
 use cicadashift_testkit::upstream::Behaviour;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -124,14 +124,14 @@
 async fn trace(options: &Options, daemons: usize, way: Way) -> Run {
     let mut spec = Spec::small(options.program.clone(), &DOMAINS, daemons.div_ceil(DOMAINS.len()));
     spec.delay = Duration::from_micros(1500);
-    spec.without = options.without.clone();
+    spec.disabled_decision = options.without.clone();
     let count = AtomicUsize::new(0);
     let mesh = Mesh::start(spec, |node| {
         let n = count.fetch_add(1, Ordering::Relaxed);
         Some(behaviour(n, &format!("u{n}-{}", node.name)))
     })
     .await;
-    mesh.select(EVERYWHERE).await;
+    mesh.set_selector(SELECT_ALL).await;
     mesh.roll_out(CONFIG).await;
     eprintln!("{way:?}: the mesh is up");
     let ups = &mesh.upstreams;
@@ -215,7 +215,7 @@
 impl Targets {
     fn new(mesh: &Mesh, way: Way) -> Targets {
         let callers: Vec<Caller> = match way {
-            Way::Mesh => mesh.fleet.nodes.iter().map(|node| Caller::new(node.callers)).collect(),
+            Way::Mesh => mesh.fleet.daemons.iter().map(|node| Caller::new(node.callers)).collect(),
             _ => mesh.upstreams.iter().map(|up| Caller::new(up.addr)).collect(),
         };
         let there = Mutex::new((0..callers.len()).collect());
@@ -244,8 +244,8 @@
     let id = id(n);
     let call = targets.choose().call(method, "/notices", &id, b"x").await;
     let mut tally = shared.lock().unwrap_or_else(|err| err.into_inner());
-    match call.got {
-        Got::Answer { request, instance, .. } if request == id => {
+    match call.outcome {
+        CallOutcome::Answer { request, instance, .. } if request == id => {
             let name = instance.split('-').next().unwrap_or("").to_string();
             tally.by_upstream.entry(name).or_default().add(call.took);
             tally.times.add(call.took);
@@ -254,11 +254,11 @@
                 false => tally.late += 1,
             }
         }
-        Got::NotRun { .. } => {
+        CallOutcome::NotRun { .. } => {
             tally.refused += 1;
             REFUSED.lock().unwrap_or_else(|err| err.into_inner()).push(n);
         }
-        Got::Unknown => tally.unknown += 1,
+        CallOutcome::Unknown => tally.unknown += 1,
         _ => tally.lost += 1,
     }
 }
@@ -268,10 +268,10 @@
 fn behaviour(n: usize, name: &str) -> Behaviour {
     let mut behaviour = Behaviour::plain("notice", name);
     behaviour.slots = SLOTS;
-    behaviour.work = WORK;
+    behaviour.service_time = WORK;
     match n {
-        0 => behaviour.work = WORK * SLOWER,
-        3 => behaviour.lies = true,
+        0 => behaviour.service_time = WORK * SLOWER,
+        3 => behaviour.claims_idle = true,
         4 | 5 => behaviour.cold = Some(COLD),
         _ => {}
     }
--- a/crates/measure/src/storm.rs
+++ b/crates/measure/src/storm.rs
@@ -4,8 +4,8 @@
 use crate::{Options, Outcome, converge};
 use cicadashift::clock::{Clock, SystemClock};
 use cicadashift_http::exec;
-use cicadashift_testkit::caller::{Caller, Got};
-use cicadashift_testkit::mesh::{Mesh, PATIENCE};
+use cicadashift_testkit::caller::{CallOutcome, Caller};
+use cicadashift_testkit::mesh::{Mesh, WAIT_TIMEOUT};
 use serde_json::json;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -40,7 +40,7 @@
         started.push(SystemClock::new().wall_ms());
         mesh.fleet.restart(*i);
     }
-    let back = mesh.fleet.wait_running(&mesh.all(), version, PATIENCE).await;
+    let back = mesh.fleet.wait_running(&mesh.all(), version, WAIT_TIMEOUT).await;
     let mut times = Times::default();
     for (i, started) in herd.iter().zip(&started) {
         let status = mesh.fleet.status(*i).await.unwrap_or_default();
@@ -52,7 +52,7 @@
         caller.await;
     }
     let count = |n: &AtomicU64| n.load(Ordering::Relaxed);
-    let reverted = mesh.fleet.reverted();
+    let reverted = mesh.fleet.version_regressions();
     let mut broken = Vec::new();
     if back.is_none() {
         broken.push("an accepted configuration is in force everywhere within seconds");
@@ -85,7 +85,7 @@
     let survivors = mesh.all().into_iter().filter(|i| !herd.contains(i)).take(6);
     let tasks = survivors
         .map(|i| {
-            let node = &mesh.fleet.nodes[i];
+            let node = &mesh.fleet.daemons[i];
             let path = format!("/group-{}/change-0/route-1", node.group.trim_start_matches('g'));
             let (tally, caller) = (tally.clone(), Caller::new(node.callers));
             exec::spawn(async move { call(i, path, caller, tally).await })
@@ -98,12 +98,12 @@
     let mut n = 0;
     while !tally.stop.load(Ordering::Relaxed) {
         n += 1;
-        let counter = match caller.call("POST", &path, &format!("{i}-{n}"), b"").await.got {
+        let counter = match caller.call("POST", &path, &format!("{i}-{n}"), b"").await.outcome {
             // The change in the middle takes this route away from one group.
-            Got::Answer { .. } | Got::Refused(404) => &tally.sent,
-            Got::NotRun { .. } => &tally.refused,
-            Got::Unknown => &tally.unknown,
-            Got::Refused(_) | Got::Nothing(_) => &tally.lost,
+            CallOutcome::Answer { .. } | CallOutcome::Refused(404) => &tally.sent,
+            CallOutcome::NotRun { .. } => &tally.refused,
+            CallOutcome::Unknown => &tally.unknown,
+            CallOutcome::Refused(_) | CallOutcome::Lost(_) => &tally.lost,
         };
         counter.fetch_add(1, Ordering::Relaxed);
         smol::Timer::after(CALL_EVERY).await;
--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/caller.rs
@@ -8,12 +8,12 @@
 use std::time::{Duration, Instant};
 
 /// Time after which a caller stops waiting; longer than any deadline used.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const MOST: usize = 64 << 20;
 
 /// What a caller got.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum CallOutcome {
     /// A whole answer of an upstream.
     Answer { status: u16, body: Bytes, instance: String, request: String },
     /// Told that it did not run, and when to come back.
@@ -23,14 +23,14 @@
     /// Refused for what it is, such as no route.
     Refused(u16),
     /// Nothing that can be understood: lost.
-    Nothing(String),
+    Lost(String),
 }
 
 /// One request's result.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct CallResult {
     /// What came back.
-    pub got: Got,
+    pub outcome: CallOutcome,
     /// How long it took.
     pub took: Duration,
 }
@@ -48,13 +48,13 @@
     }
 
     /// Sends one request named `id`.
-    pub async fn call(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> Call {
+    pub async fn call(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> CallResult {
         let started = Instant::now();
-        let got = self.attempt(method, uri, id, body).await;
-        Call { got, took: started.elapsed() }
+        let outcome = self.attempt(method, uri, id, body).await;
+        CallResult { outcome, took: started.elapsed() }
     }
 
-    async fn attempt(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> Got {
+    async fn attempt(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> CallOutcome {
         let method = Method::from_bytes(method.as_bytes()).unwrap_or(Method::GET);
         let req = Request::builder()
             .method(method)
@@ -62,29 +62,29 @@
             .header("host", "mesh")
             .header("cicadashift-request-id", id)
             .body(body::full(body.to_vec()));
-        let Ok(req) = req else { return Got::Nothing("bad request".to_string()) };
-        let res = match self.pool.exchange(self.to, req, MOST, PATIENCE).await {
+        let Ok(req) = req else { return CallOutcome::Lost("bad request".to_string()) };
+        let res = match self.pool.exchange(self.to, req, MOST, WAIT_TIMEOUT).await {
             Ok(res) => res,
-            Err(err) => return Got::Nothing(err.to_string()),
+            Err(err) => return CallOutcome::Lost(err.to_string()),
         };
         let header = |name: &str| {
             res.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_string()
         };
         match header("cicadashift-outcome").as_str() {
-            "not-run" => Got::NotRun {
+            "not-run" => CallOutcome::NotRun {
                 reason: header("cicadashift-reason"),
                 retry_after: Duration::from_millis(
                     header("cicadashift-retry-after-ms").parse().unwrap_or(0),
                 ),
             },
-            "unknown" => Got::Unknown,
-            _ if res.status() == StatusCode::OK => Got::Answer {
+            "unknown" => CallOutcome::Unknown,
+            _ if res.status() == StatusCode::OK => CallOutcome::Answer {
                 status: res.status().as_u16(),
                 instance: header("x-instance"),
                 request: header("x-request"),
                 body: res.body().clone(),
             },
-            _ => Got::Refused(res.status().as_u16()),
+            _ => CallOutcome::Refused(res.status().as_u16()),
         }
     }
 }
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -25,7 +25,7 @@
     /// The program.
     pub program: PathBuf,
     /// What comes before `daemon --settings FILE` on its command line.
-    pub prefix: Vec<String>,
+    pub command_prefix: Vec<String>,
     /// Names of the failure domains.
     pub domains: Vec<String>,
     /// Daemons in each.
@@ -41,7 +41,7 @@
     /// Daemon `i` of the fleet has the label `group=gN`, N being `i` modulo this.
     pub groups: usize,
     /// A decision of the choice of upstreams that is switched off.
-    pub without: Option<String>,
+    pub disabled_decision: Option<String>,
     /// Milliseconds for a request's head to arrive.
     pub head_ms: u64,
 }
@@ -51,7 +51,7 @@
     pub fn small(program: PathBuf, domains: &[&str], per_domain: usize) -> Spec {
         Spec {
             program,
-            prefix: Vec::new(),
+            command_prefix: Vec::new(),
             domains: domains.iter().map(|name| name.to_string()).collect(),
             per_domain,
             delay: Duration::ZERO,
@@ -59,14 +59,14 @@
             decisions: true,
             threads: 2,
             groups: 10,
-            without: None,
+            disabled_decision: None,
             head_ms: 30_000,
         }
     }
 }
 
 /// One daemon of a fleet.
-pub struct Node {
+pub struct Daemon {
     /// The host's name.
     pub name: String,
     /// Its failure domain.
@@ -91,7 +91,7 @@
 /// A running fleet; every process ends with it.
 pub struct Fleet {
     /// Its daemons, by domain and then by number.
-    pub nodes: Vec<Node>,
+    pub daemons: Vec<Daemon>,
     /// The way from each failure domain to the platform.
     pub platform_links: Vec<(String, Link)>,
     spec: Spec,
@@ -114,7 +114,7 @@
         for domain in &spec.domains {
             for i in 0..spec.per_domain {
                 let group = nodes.len() % spec.groups;
-                nodes.push(Node::plan(&spec, domain, i, group, &dir));
+                nodes.push(Daemon::plan(&spec, domain, i, group, &dir));
             }
         }
         let platform_links: Vec<_> = spec
@@ -128,8 +128,8 @@
             let settings = node.settings_json(&nodes, &spec, platform);
             std::fs::write(&node.settings, settings.to_string()).expect("settings can be written");
         }
-        let mut fleet = Fleet { nodes, platform_links, spec, dir, pool: Pool::new(2) };
-        for i in 0..fleet.nodes.len() {
+        let mut fleet = Fleet { daemons: nodes, platform_links, spec, dir, pool: Pool::new(2) };
+        for i in 0..fleet.daemons.len() {
             fleet.restart(i);
         }
         fleet
@@ -137,7 +137,7 @@
 
     /// Returns the daemons of a failure domain, by position.
     pub fn in_domain(&self, domain: &str) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|i| self.nodes[*i].domain == domain).collect()
+        (0..self.daemons.len()).filter(|i| self.daemons[*i].domain == domain).collect()
     }
 
     /// Starts a daemon that does not run.
@@ -146,12 +146,12 @@
     ///
     /// Panics where the program cannot be started.
     pub fn restart(&mut self, i: usize) {
-        let node = &mut self.nodes[i];
+        let node = &mut self.daemons[i];
         let log = File::options().create(true).append(true).open(&node.log).expect("a log file");
         let errors = log.try_clone().expect("a second handle");
-        let _no_port_is_tried = ports::starting();
+        let _no_port_is_tried = ports::lock_process_starts();
         let child = Command::new(&self.spec.program)
-            .args(&self.spec.prefix)
+            .args(&self.spec.command_prefix)
             .arg("daemon")
             .arg("--settings")
             .arg(&node.settings)
@@ -165,7 +165,7 @@
 
     /// Ends a daemon without a word.
     pub fn kill(&mut self, i: usize) {
-        if let Some(mut child) = self.nodes[i].child.take() {
+        if let Some(mut child) = self.daemons[i].child.take() {
             let _gone = child.kill();
             let _gone = child.wait();
         }
@@ -174,7 +174,7 @@
     /// Asks a daemon to stop and waits until it has; returns its exit code.
     pub async fn stop(&mut self, i: usize) -> Option<i32> {
         self.signal(i, "-TERM");
-        let mut child = self.nodes[i].child.take()?;
+        let mut child = self.daemons[i].child.take()?;
         loop {
             if let Some(status) = child.try_wait().ok()? {
                 return status.code();
@@ -199,7 +199,7 @@
     /// others have to be cut as well to stop what goes out. Others lose each
     /// other with it, as when the site in the middle goes.
     pub fn cut(&self, cut: bool) {
-        self.nodes.iter().for_each(|node| node.link.cut(cut));
+        self.daemons.iter().for_each(|node| node.link.cut(cut));
     }
 
     /// Cuts a failure domain's way to the platform, or mends it.
@@ -209,11 +209,11 @@
     }
 
     /// Returns the last line that each daemon has logged, for failed starts.
-    pub fn last_words(&self) -> String {
-        let lines = (0..self.nodes.len()).map(|i| {
+    pub fn last_log_lines(&self) -> String {
+        let lines = (0..self.daemons.len()).map(|i| {
             let log = self.log(i);
             let last = log.lines().last().unwrap_or("nothing logged");
-            format!("{}: {last}\n", self.nodes[i].name)
+            format!("{}: {last}\n", self.daemons[i].name)
         });
         lines.collect()
     }
@@ -230,27 +230,27 @@
     }
 
     /// Returns how often a daemon ran an older version than before.
-    pub fn reverted(&self) -> usize {
-        (0..self.nodes.len())
+    pub fn version_regressions(&self) -> usize {
+        (0..self.daemons.len())
             .map(|i| self.versions_run(i).windows(2).filter(|pair| pair[1] < pair[0]).count())
             .sum()
     }
 
     /// Returns the process id of a daemon that runs.
     pub fn pid(&self, i: usize) -> Option<u32> {
-        self.nodes[i].child.as_ref().map(Child::id)
+        self.daemons[i].child.as_ref().map(Child::id)
     }
 
     /// Returns what a daemon has logged.
     pub fn log(&self, i: usize) -> String {
-        std::fs::read_to_string(&self.nodes[i].log).unwrap_or_default()
+        std::fs::read_to_string(&self.daemons[i].log).unwrap_or_default()
     }
 
     /// Returns what a daemon tells of itself.
     pub async fn status(&self, i: usize) -> Option<Value> {
         let req =
             Request::get("/v1/status/self").header("host", "daemon").body(body::empty()).ok()?;
-        let to = self.nodes[i].upstreams;
+        let to = self.daemons[i].upstreams;
         let res = self.pool.exchange(to, req, 1 << 20, ASK_TIME).await.ok()?;
         serde_json::from_slice(res.body()).ok()
     }
@@ -287,11 +287,11 @@
     /// Waits until every daemon knows all others of its failure domain.
     pub async fn wait_joined(&self, time: Duration) -> bool {
         let members = self.spec.per_domain as u64;
-        let all: Vec<usize> = (0..self.nodes.len()).collect();
+        let all: Vec<usize> = (0..self.daemons.len()).collect();
         let knows_all = |status: &Value| status["members"].as_u64() >= Some(members);
         let joined = self.wait_all(&all, time, knows_all).await.is_some();
         if !joined {
-            eprintln!("{}", self.last_words());
+            eprintln!("{}", self.last_log_lines());
         }
         joined
     }
@@ -308,13 +308,13 @@
 
     /// Waits until every daemon has heard of a service.
     pub async fn wait_service(&self, service: &str, time: Duration) -> bool {
-        let all: Vec<usize> = (0..self.nodes.len()).collect();
+        let all: Vec<usize> = (0..self.daemons.len()).collect();
         self.wait_all(&all, time, |status| !status["services"][service].is_null()).await.is_some()
     }
 
     fn signal(&self, i: usize, signal: &str) {
         if let Some(pid) = self.pid(i) {
-            let _no_port_is_tried = ports::starting();
+            let _no_port_is_tried = ports::lock_process_starts();
             let _sent = Command::new("kill").arg(signal).arg(pid.to_string()).status();
         }
     }
@@ -322,7 +322,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for i in 0..self.nodes.len() {
+        for i in 0..self.daemons.len() {
             self.signal(i, "-CONT");
             self.kill(i);
         }
@@ -330,12 +330,12 @@
     }
 }
 
-impl Node {
-    fn plan(spec: &Spec, domain: &str, i: usize, group: usize, dir: &std::path::Path) -> Node {
+impl Daemon {
+    fn plan(spec: &Spec, domain: &str, i: usize, group: usize, dir: &std::path::Path) -> Daemon {
         let name = format!("{domain}-{i}");
-        let ip = ports::own_ip();
-        let [mesh, callers, upstreams] = ports::free(ip);
-        Node {
+        let ip = ports::unique_ip();
+        let [mesh, callers, upstreams] = ports::free_addrs(ip);
+        Daemon {
             settings: dir.join(format!("{name}.json")),
             log: dir.join(format!("{name}.log")),
             service: spec.services[i % spec.services.len()].clone(),
@@ -350,8 +350,8 @@
         }
     }
 
-    fn settings_json(&self, nodes: &[Node], spec: &Spec, platform: SocketAddr) -> Value {
-        let near: Vec<&Node> = nodes.iter().filter(|node| node.domain == self.domain).collect();
+    fn settings_json(&self, nodes: &[Daemon], spec: &Spec, platform: SocketAddr) -> Value {
+        let near: Vec<&Daemon> = nodes.iter().filter(|node| node.domain == self.domain).collect();
         let witnesses: Vec<&str> =
             near.iter().take(WITNESSES).map(|node| node.name.as_str()).collect();
         let peers: Vec<SocketAddr> = near.iter().take(WITNESSES).map(|node| node.mesh).collect();
@@ -365,7 +365,7 @@
             })
             .collect();
         let mut choice = json!({});
-        if let Some(name) = &spec.without {
+        if let Some(name) = &spec.disabled_decision {
             choice[name] = json!(false);
         }
         json!({
--- a/crates/testkit/src/hosted/fleet.rs
+++ b/crates/testkit/src/hosted/fleet.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for something that is to come true.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL: Duration = Duration::from_millis(20);
 const ASK_TIME: Duration = Duration::from_secs(4);
 const MOST: usize = 16 << 20;
@@ -26,7 +26,7 @@
 const HOST: &str = "notices.example";
 
 /// One daemon with its instance.
-pub struct Node {
+pub struct Daemon {
     /// Port for callers.
     pub callers: SocketAddr,
     /// Port for the instance and operators of the host.
@@ -45,7 +45,7 @@
 /// Daemons of one mesh; every process ends with it.
 pub struct HostedFleet {
     /// Its daemons; the first two in failure domain `a`, the others in `b`.
-    pub nodes: Vec<Node>,
+    pub daemons: Vec<Daemon>,
     /// The store.
     pub store: Store,
     /// What the instances ran.
@@ -68,7 +68,8 @@
         for i in 0..count {
             let ready = fleet.wait(async |fleet: &HostedFleet| fleet.is_ready(i).await).await;
             assert!(ready, "daemon {i} becomes ready: {}", fleet.log(i));
-            let known = fleet.wait(async |fleet: &HostedFleet| fleet.knows(i, count).await).await;
+            let known =
+                fleet.wait(async |fleet: &HostedFleet| fleet.sees_instances(i, count).await).await;
             assert!(known, "daemon {i} knows all instances: {}", fleet.log(i));
         }
         fleet
@@ -85,9 +86,9 @@
         std::fs::create_dir_all(&dir).expect("the temporary folder can be written");
         let store = Store::start();
         let ledger = Ledger::default();
-        let nodes = (0..count).map(|i| Node::plan(i, &dir, &store, &ledger)).collect();
+        let nodes = (0..count).map(|i| Daemon::plan(i, &dir, &store, &ledger)).collect();
         let mut fleet = HostedFleet {
-            nodes,
+            daemons: nodes,
             store,
             ledger,
             program: program.to_path_buf(),
@@ -111,10 +112,10 @@
     ///
     /// Panics where the program cannot be started.
     pub fn restart(&mut self, i: usize) {
-        let node = &mut self.nodes[i];
+        let node = &mut self.daemons[i];
         let log = File::options().create(true).append(true).open(&node.log).expect("a log file");
         let errors = log.try_clone().expect("a second handle");
-        let _no_port_is_tried = ports::starting();
+        let _no_port_is_tried = ports::lock_process_starts();
         let child = Command::new(&self.program)
             .args(["daemon", "--settings"])
             .arg(&node.settings)
@@ -127,7 +128,7 @@
 
     /// Ends a daemon without a word.
     pub fn kill(&mut self, i: usize) {
-        if let Some(mut child) = self.nodes[i].child.take() {
+        if let Some(mut child) = self.daemons[i].child.take() {
             let _gone = child.kill();
             let _gone = child.wait();
         }
@@ -135,15 +136,15 @@
 
     /// Sends a signal, such as `-TERM`, to a daemon.
     pub fn signal(&self, i: usize, signal: &str) {
-        if let Some(child) = &self.nodes[i].child {
-            let _no_port_is_tried = ports::starting();
+        if let Some(child) = &self.daemons[i].child {
+            let _no_port_is_tried = ports::lock_process_starts();
             let _sent = Command::new("kill").arg(signal).arg(child.id().to_string()).status();
         }
     }
 
     /// Returns the exit code of a daemon that has ended.
     pub fn exit_code(&mut self, i: usize) -> Option<i32> {
-        self.nodes[i].child.as_mut()?.try_wait().ok()?.and_then(|status| status.code())
+        self.daemons[i].child.as_mut()?.try_wait().ok()?.and_then(|status| status.code())
     }
 
     /// Changes a field of a daemon's settings file.
@@ -152,7 +153,7 @@
     ///
     /// Panics where the file cannot be written.
     pub fn change_settings(&self, i: usize, field: &str, value: Value) {
-        let file = &self.nodes[i].settings;
+        let file = &self.daemons[i].settings;
         let buf = std::fs::read(file).expect("the settings are there");
         let mut settings: Value = serde_json::from_slice(&buf).expect("they are JSON");
         settings[field] = value;
@@ -161,20 +162,20 @@
 
     /// Returns what a daemon has logged.
     pub fn log(&self, i: usize) -> String {
-        std::fs::read_to_string(&self.nodes[i].log).unwrap_or_default()
+        std::fs::read_to_string(&self.daemons[i].log).unwrap_or_default()
     }
 
     /// Returns whether a daemon says that it takes work.
     pub async fn is_ready(&self, i: usize) -> bool {
         let req = Request::get("/cicadashift/ready").header("host", "ready").body(body::empty());
         let Ok(req) = req else { return false };
-        let answer = self.pool.exchange(self.nodes[i].ready, req, MOST, ASK_TIME).await;
+        let answer = self.pool.exchange(self.daemons[i].ready, req, MOST, ASK_TIME).await;
         answer.is_ok_and(|res| res.status().is_success())
     }
 
     /// Returns a caller with connections of its own to a daemon.
     pub fn caller(&self, i: usize) -> HostedCaller {
-        HostedCaller { to: self.nodes[i].callers, pool: Pool::new(2) }
+        HostedCaller { to: self.daemons[i].callers, pool: Pool::new(2) }
     }
 
     /// Sends a request to a daemon; `None` where the connection broke.
@@ -185,7 +186,7 @@
         path: &str,
         id: &str,
     ) -> Option<Response<String>> {
-        call(&self.pool, self.nodes[i].callers, method, path, id, &[]).await
+        call(&self.pool, self.daemons[i].callers, method, path, id, &[]).await
     }
 
     /// Sends a GET with further headers to a daemon; `None` where the connection broke.
@@ -196,7 +197,7 @@
         id: &str,
         headers: &[(&str, &str)],
     ) -> Option<Response<String>> {
-        call(&self.pool, self.nodes[i].callers, Method::GET, path, id, headers).await
+        call(&self.pool, self.daemons[i].callers, Method::GET, path, id, headers).await
     }
 
     /// Returns the status of a GET.
@@ -237,7 +238,7 @@
 
     /// Waits until something is true.
     pub async fn wait(&self, holds: impl AsyncFn(&HostedFleet) -> bool) -> bool {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while !holds(self).await {
             if Instant::now() >= until {
                 return false;
@@ -250,7 +251,7 @@
     /// Returns which daemons follow the store.
     pub async fn followers(&self) -> Vec<usize> {
         let mut out = Vec::new();
-        for i in 0..self.nodes.len() {
+        for i in 0..self.daemons.len() {
             if self.own_status(i).await["follows_store"] == json!(true) {
                 out.push(i);
             }
@@ -259,7 +260,7 @@
     }
 
     /// Returns whether a daemon knows this many instances.
-    pub async fn knows(&self, i: usize, count: usize) -> bool {
+    pub async fn sees_instances(&self, i: usize, count: usize) -> bool {
         self.own_status(i).await["services"]["notice"] == json!(count)
     }
 
@@ -267,7 +268,7 @@
     pub async fn own_status(&self, i: usize) -> Value {
         let req = Request::get("/v1/status/self").header("host", "daemon").body(body::empty());
         let Ok(req) = req else { return Value::Null };
-        let answer = self.pool.exchange(self.nodes[i].control, req, MOST, ASK_TIME).await;
+        let answer = self.pool.exchange(self.daemons[i].control, req, MOST, ASK_TIME).await;
         let Ok(res) = answer else { return Value::Null };
         serde_json::from_slice(res.body()).unwrap_or(Value::Null)
     }
@@ -311,7 +312,7 @@
 
 impl Drop for HostedFleet {
     fn drop(&mut self) {
-        for i in 0..self.nodes.len() {
+        for i in 0..self.daemons.len() {
             self.signal(i, "-CONT");
             self.kill(i);
         }
@@ -319,10 +320,10 @@
     }
 }
 
-impl Node {
-    fn plan(i: usize, dir: &Path, store: &Store, ledger: &Ledger) -> Node {
-        let ip = ports::own_ip();
-        let [callers, control, ready, mesh] = ports::free(ip);
+impl Daemon {
+    fn plan(i: usize, dir: &Path, store: &Store, ledger: &Ledger) -> Daemon {
+        let ip = ports::unique_ip();
+        let [callers, control, ready, mesh] = ports::free_addrs(ip);
         let store_link = Link::start(store.addr, Duration::ZERO);
         let instance = Instance::start(&format!("i-{i}"), "notice", control, ledger.clone());
         let settings = json!({
@@ -342,7 +343,7 @@
         });
         let file = dir.join(format!("host-{i}.json"));
         std::fs::write(&file, settings.to_string()).expect("settings can be written");
-        Node {
+        Daemon {
             callers,
             control,
             ready,
--- a/crates/testkit/src/hosted/instance.rs
+++ b/crates/testkit/src/hosted/instance.rs
@@ -1,7 +1,7 @@
 //! An instance on the users' platform: heartbeats, identity, and ways to fail.
 //!
-//! A request whose path has [`GUILTY`] in it ends the instance while it runs, as a
-//! fault of its program would; it is back, as another one, after [`DOWN_FOR`].
+//! A request whose path has [`FATAL_PATH`] in it ends the instance while it runs, as a
+//! fault of its program would; it is back, as another one, after [`RESTART_DELAY`].
 
 use super::front::Front;
 use crate::upstream::Ledger;
@@ -29,13 +29,13 @@
 pub const LARGE_BYTES: usize = 240_000;
 
 /// Part of the paths of requests that end the instance which runs them.
-pub const GUILTY: &str = "guilty";
+pub const FATAL_PATH: &str = "guilty";
 /// How long an instance is away after such a request.
-pub const DOWN_FOR: Duration = Duration::from_millis(400);
+pub const RESTART_DELAY: Duration = Duration::from_millis(400);
 
 /// A run of a request that ends instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fatal {
+pub struct FatalRun {
     /// What was asked for.
     pub path: String,
     /// Under which id.
@@ -46,7 +46,7 @@
 
 /// Who sent a request, as the instance that ran it was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sender {
+pub struct RequestOrigin {
     /// The request.
     pub id: String,
     /// The organisation; empty where none was named.
@@ -68,10 +68,10 @@
 
 /// How an instance answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
+pub enum AnswerMode {
     /// Whole and in order.
     #[default]
-    Good,
+    Normal,
     /// Runs the request and never answers.
     Silent,
     /// With another request's id.
@@ -86,7 +86,7 @@
 
 struct Shared {
     id: Mutex<String>,
-    manner: Mutex<Manner>,
+    manner: Mutex<AnswerMode>,
     work: Mutex<Duration>,
     slots: Mutex<u16>,
     version: Mutex<String>,
@@ -103,10 +103,10 @@
     born: AtomicU64,
     ledger: Ledger,
     seen: Mutex<Vec<(String, String)>>,
-    senders: Mutex<Vec<Sender>>,
+    senders: Mutex<Vec<RequestOrigin>>,
     abandoned: Mutex<Vec<String>>,
     front: Front,
-    fatal: Mutex<Vec<Fatal>>,
+    fatal: Mutex<Vec<FatalRun>>,
     /// How often it ended.
     ends: AtomicU64,
 }
@@ -173,7 +173,7 @@
             while let Some(instance) = beating.upgrade() {
                 let beats = *lock(&instance.shared.beats);
                 if beats {
-                    let _daemon_may_be_down = instance.beat().await;
+                    let _daemon_may_be_down = instance.send_heartbeat().await;
                 }
                 drop(instance);
                 smol::Timer::after(HEARTBEAT_EVERY).await;
@@ -184,12 +184,12 @@
     }
 
     /// Changes how it answers.
-    pub fn set_manner(&self, manner: Manner) {
+    pub fn set_answer_mode(&self, manner: AnswerMode) {
         *lock(&self.shared.manner) = manner;
     }
 
     /// Changes how long a request takes.
-    pub fn set_work(&self, work: Duration) {
+    pub fn set_service_time(&self, work: Duration) {
         *lock(&self.shared.work) = work;
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// Says in all answers that it leaves, without a heartbeat that does.
-    pub fn name_leaving(&self) {
+    pub fn signal_leaving(&self) {
         *lock(&self.shared.leaving) = true;
     }
 
@@ -219,31 +219,31 @@
     }
 
     /// Stops or resumes heartbeats.
-    pub fn set_beats(&self, beats: bool) {
+    pub fn set_heartbeats(&self, beats: bool) {
         *lock(&self.shared.beats) = beats;
     }
 
     /// Becomes another instance at the same address, without a word.
-    pub fn become_another(&self, id: &str) {
+    pub fn replace_id(&self, id: &str) {
         *lock(&self.shared.id) = id.to_string();
     }
 
     /// Starts again under its id at a moment of its own clock: it knows nothing of before
     /// and counts its heartbeats anew. Returns whether the first was acknowledged.
-    pub async fn start_again(&self, born: u64) -> bool {
+    pub async fn restart_at(&self, born: u64) -> bool {
         self.shared.born.store(born, Ordering::Relaxed);
         self.shared.sequence.store(0, Ordering::Relaxed);
         *lock(&self.shared.draining) = false;
         *lock(&self.shared.leaving) = false;
         *lock(&self.shared.limit) = None;
         *lock(&self.shared.beats) = true;
-        self.beat().await
+        self.send_heartbeat().await
     }
 
     /// Reports that it is leaving; returns whether that was acknowledged.
     pub async fn drain(&self) -> bool {
         *lock(&self.shared.draining) = true;
-        self.beat().await
+        self.send_heartbeat().await
     }
 
     /// Says that it is gone, and goes on serving.
@@ -254,21 +254,27 @@
     }
 
     /// Sends one heartbeat; returns whether it was acknowledged.
-    pub async fn beat(&self) -> bool {
+    pub async fn send_heartbeat(&self) -> bool {
         let id = lock(&self.shared.id).clone();
         let sequence = self.shared.sequence.fetch_add(1, Ordering::Relaxed);
         let draining = *lock(&self.shared.draining);
-        self.beat_as(&id, sequence, draining).await
+        self.send_heartbeat_as(&id, sequence, draining).await
     }
 
     /// Sends a heartbeat with any content, such as one that was held up.
-    pub async fn beat_as(&self, id: &str, sequence: u64, draining: bool) -> bool {
+    pub async fn send_heartbeat_as(&self, id: &str, sequence: u64, draining: bool) -> bool {
         let born = self.shared.born.load(Ordering::Relaxed);
-        self.beat_of_start(id, born, sequence, draining).await
+        self.send_heartbeat_of_incarnation(id, born, sequence, draining).await
     }
 
     /// Sends a heartbeat of any start.
-    pub async fn beat_of_start(&self, id: &str, born: u64, sequence: u64, draining: bool) -> bool {
+    pub async fn send_heartbeat_of_incarnation(
+        &self,
+        id: &str,
+        born: u64,
+        sequence: u64,
+        draining: bool,
+    ) -> bool {
         let slots = *lock(&self.shared.slots);
         let version = lock(&self.shared.version).clone();
         let state = if draining { "draining" } else { "ready" };
@@ -289,22 +295,22 @@
     }
 
     /// Returns the runs of requests that end instances, here.
-    pub fn fatal(&self) -> Vec<Fatal> {
+    pub fn fatal_runs(&self) -> Vec<FatalRun> {
         lock(&self.shared.fatal).clone()
     }
 
-    /// Ends without a word, and is back as another instance after [`DOWN_FOR`].
-    pub fn end(&self) {
+    /// Ends without a word, and is back as another instance after [`RESTART_DELAY`].
+    pub fn crash(&self) {
         self.shared.end();
     }
 
     /// Returns the callers' services and deadlines that it saw.
-    pub fn seen(&self) -> Vec<(String, String)> {
+    pub fn caller_headers(&self) -> Vec<(String, String)> {
         lock(&self.shared.seen).clone()
     }
 
     /// Returns who sent the requests that it ran.
-    pub fn senders(&self) -> Vec<Sender> {
+    pub fn request_origins(&self) -> Vec<RequestOrigin> {
         lock(&self.shared.senders).clone()
     }
 
@@ -330,7 +336,7 @@
         let ends = self.ends.fetch_add(1, Ordering::Relaxed) + 1;
         let shared = self.clone();
         exec::spawn(async move {
-            smol::Timer::after(DOWN_FOR).await;
+            smol::Timer::after(RESTART_DELAY).await;
             let id = lock(&shared.id).split('.').next().unwrap_or_default().to_string();
             *lock(&shared.id) = format!("{id}.{ends}");
             shared.sequence.store(0, Ordering::Relaxed);
@@ -393,21 +399,21 @@
         at: Instant::now(),
     });
     let manner = *lock(&shared.manner);
-    if manner == Manner::Shedding {
+    if manner == AnswerMode::Shedding {
         return not_run(StatusCode::SERVICE_UNAVAILABLE, &id, &own);
     }
     lock(&shared.seen).push((text("x-caller-service"), text("x-deadline-ms")));
-    lock(&shared.senders).push(Sender {
+    lock(&shared.senders).push(RequestOrigin {
         id: id.clone(),
         organisation: text("x-tenant"),
         has_credentials: head.headers.contains_key("authorization"),
     });
     let body = body::read(incoming, MOST).await.unwrap_or_default();
-    shared.ledger.ran(&id);
+    shared.ledger.record_run(&id);
     let work = *lock(&shared.work);
-    if head.uri.path().contains(GUILTY) {
+    if head.uri.path().contains(FATAL_PATH) {
         let path = head.uri.path().to_string();
-        lock(&shared.fatal).push(Fatal { path, id, at: Instant::now() });
+        lock(&shared.fatal).push(FatalRun { path, id, at: Instant::now() });
         // By itself: a run that has begun ends the instance whether or not its caller
         // stays, and the end drops the connection.
         let ending = shared.clone();
@@ -421,19 +427,19 @@
     let run = Run { shared: shared.clone(), id: id.clone(), ended: false };
     smol::Timer::after(work).await;
     run.end();
-    if manner == Manner::Silent {
+    if manner == AnswerMode::Silent {
         return std::future::pending().await;
     }
-    if manner == Manner::Truncating {
+    if manner == AnswerMode::Truncating {
         return truncated(&id, &own);
     }
-    let echoed = if manner == Manner::WrongId { "of-another" } else { id.as_str() };
+    let echoed = if manner == AnswerMode::WrongId { "of-another" } else { id.as_str() };
     let answer = match head.uri.path().ends_with("/large") {
         true => id.repeat(LARGE_BYTES / id.len().max(1)),
         false => format!("{own} {id} {}", body.len()),
     };
     let mut res = Response::new(body::full(answer));
-    if manner == Manner::Failing {
+    if manner == AnswerMode::Failing {
         *res.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
     }
     set(&mut res, "x-request-id", echoed);
--- a/crates/testkit/src/hosted/store.rs
+++ b/crates/testkit/src/hosted/store.rs
@@ -26,7 +26,7 @@
 
 /// How the store is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum Outage {
     /// It takes calls and never answers.
     Silent,
     /// It answers that it is busy, and does nothing.
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Every call fails in this way, and watches end.
-    pub down: Option<Down>,
+    pub down: Option<Outage>,
     /// Added to each call.
     pub delay: Duration,
     /// This many writes take effect and their answers are lost.
@@ -71,7 +71,7 @@
 }
 
 /// A copy of all that the store held, from which it may come back.
-pub struct Copy {
+pub struct StoreCopy {
     revision: i64,
     items: BTreeMap<String, Item>,
     history: BTreeMap<i64, (String, Option<Item>)>,
@@ -107,7 +107,7 @@
     }
 
     /// Changes what goes wrong.
-    pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.state).faults);
     }
 
@@ -130,14 +130,14 @@
     }
 
     /// Ends every lease at once.
-    pub fn lapse_leases(&self) {
+    pub fn expire_all_leases(&self) {
         let mut state = lock(&self.state);
         state.leases.clear();
         state.expire(Instant::now());
     }
 
     /// Takes keys away although their leases run on.
-    pub fn revoke(&self, prefix: &str) {
+    pub fn delete_prefix(&self, prefix: &str) {
         for key in self.keys(prefix) {
             lock(&self.state).delete(&key);
         }
@@ -151,9 +151,9 @@
     }
 
     /// Takes a copy of all that it holds.
-    pub fn copy(&self) -> Copy {
+    pub fn copy(&self) -> StoreCopy {
         let state = lock(&self.state);
-        Copy {
+        StoreCopy {
             revision: state.revision,
             items: state.items.clone(),
             history: state.history.clone(),
@@ -165,7 +165,7 @@
     /// Comes back from a copy: what was written since is gone, leases too, positions and
     /// numbers of leases are given out again, and the operator writes again what is
     /// theirs.
-    pub fn restore(&self, copy: Copy) {
+    pub fn restore(&self, copy: StoreCopy) {
         let mut state = lock(&self.state);
         let of_operator = |(key, _): &(&String, &Item)| key.starts_with(OPERATOR);
         let kept: Vec<(String, String)> = state
@@ -246,9 +246,9 @@
         state.faults.clone()
     };
     match faults.down {
-        Some(Down::Silent) => return std::future::pending().await,
-        Some(Down::Busy) => return answer(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
-        Some(Down::TooMany) => return answer(StatusCode::TOO_MANY_REQUESTS, &json!({})),
+        Some(Outage::Silent) => return std::future::pending().await,
+        Some(Outage::Busy) => return answer(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
+        Some(Outage::TooMany) => return answer(StatusCode::TOO_MANY_REQUESTS, &json!({})),
         None => {}
     }
     smol::Timer::after(faults.delay).await;
--- a/crates/testkit/src/mesh.rs
+++ b/crates/testkit/src/mesh.rs
@@ -1,6 +1,6 @@
 //! A whole mesh: platform, daemons, upstreams, and an operator.
 
-use crate::fleet::{Fleet, Node, Spec};
+use crate::fleet::{Daemon, Fleet, Spec};
 use crate::platform::Platform;
 use crate::upstream::{Behaviour, Ledger, Upstream};
 use cicadashift::clock::{Clock, SystemClock};
@@ -14,13 +14,13 @@
 
 /// Time for anything that a test waits for; far above what it takes, so that a
 /// slow machine changes no verdict.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pairs every configuration labelled `app=notices` with every proxy.
-pub const EVERYWHERE: &str = r#"{"name": "everywhere", "configs": {"app": "notices"}}"#;
+pub const SELECT_ALL: &str = r#"{"name": "everywhere", "configs": {"app": "notices"}}"#;
 
 /// Routes `/notices` to the service `notice`.
-pub const NOTICES: &str = r#"{
+pub const NOTICES_CONFIG: &str = r#"{
   "id": "notices",
   "labels": {"app": "notices"},
   "routes": [{"prefix": "/notices", "service": "notice"}, {"prefix": "/echo", "service": "notice"}]
@@ -45,12 +45,12 @@
     /// # Panics
     ///
     /// Panics if it does not come up: no test can go on from there.
-    pub async fn start(spec: Spec, behaviour: impl Fn(&Node) -> Option<Behaviour>) -> Mesh {
+    pub async fn start(spec: Spec, behaviour: impl Fn(&Daemon) -> Option<Behaviour>) -> Mesh {
         let platform = Platform::start();
         let fleet = Fleet::start(spec, platform.addr);
         let ledger = Ledger::default();
         let mut upstreams = Vec::new();
-        for node in &fleet.nodes {
+        for node in &fleet.daemons {
             if let Some(behaviour) = behaviour(node) {
                 upstreams.push(Upstream::start(behaviour, node.upstreams, ledger.clone()));
             }
@@ -58,12 +58,12 @@
         let client = Etcd::new(vec![platform.addr]);
         let mesh = Mesh { platform, fleet, upstreams, ledger, client };
         mesh.announce_all().await;
-        assert!(mesh.fleet.wait_joined(PATIENCE).await, "the daemons find each other");
+        assert!(mesh.fleet.wait_joined(WAIT_TIMEOUT).await, "the daemons find each other");
         mesh
     }
 
     /// Starts a mesh with an ordinary upstream beside each daemon, and brings
-    /// [`NOTICES`] into force everywhere.
+    /// [`NOTICES_CONFIG`] into force everywhere.
     ///
     /// # Panics
     ///
@@ -73,8 +73,8 @@
             Some(Behaviour::plain(&node.service, &format!("{}-{}", node.service, node.name)))
         })
         .await;
-        mesh.select(EVERYWHERE).await;
-        mesh.roll_out(NOTICES).await;
+        mesh.set_selector(SELECT_ALL).await;
+        mesh.roll_out(NOTICES_CONFIG).await;
         mesh
     }
 
@@ -83,7 +83,7 @@
     /// # Panics
     ///
     /// Panics if the platform does not take it.
-    pub async fn select(&self, text: &str) -> Version {
+    pub async fn set_selector(&self, text: &str) -> Version {
         let selector = Selector::parse(text.as_bytes()).expect("a good selector");
         let op = Operation::SetSelector(selector);
         self.commit(&op).await.expect("the platform takes a selector")
@@ -106,7 +106,7 @@
     pub async fn accept(&self, text: &str) -> Result<Version, OperatorError> {
         let invalid = |why| OperatorError::Invalid { file: "test".to_string(), why };
         let (op, cfg, object) = change::accepting(text.as_bytes()).map_err(invalid)?;
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         // The roster with the services is written a moment after the first
         // announcement.
         loop {
@@ -128,13 +128,13 @@
     /// Panics if it is refused or does not come into force.
     pub async fn roll_out(&self, text: &str) -> (Version, Duration) {
         let version = self.accept(text).await.expect("the configuration is accepted");
-        let took = self.fleet.wait_running(&self.all(), version, PATIENCE).await;
+        let took = self.fleet.wait_running(&self.all(), version, WAIT_TIMEOUT).await;
         (version, took.expect("the version comes into force everywhere"))
     }
 
     /// Returns the positions of all daemons.
     pub fn all(&self) -> Vec<usize> {
-        (0..self.fleet.nodes.len()).collect()
+        (0..self.fleet.daemons.len()).collect()
     }
 
     /// Announces every upstream to its daemon.
@@ -143,11 +143,11 @@
     ///
     /// Panics if a daemon does not come up.
     pub async fn announce_all(&self) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         for upstream in &self.upstreams {
             while upstream.announce().await.is_err() {
                 if Instant::now() > until {
-                    panic!("a daemon does not come up:\n{}", self.fleet.last_words());
+                    panic!("a daemon does not come up:\n{}", self.fleet.last_log_lines());
                 }
                 smol::Timer::after(Duration::from_millis(20)).await;
             }
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -137,7 +137,7 @@
     }
 
     /// Changes what goes wrong.
-    pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         let mut state = lock(&self.state);
         change(&mut state.faults);
         if state.faults.outage {
--- a/crates/testkit/src/ports.rs
+++ b/crates/testkit/src/ports.rs
@@ -11,7 +11,7 @@
 ///
 /// Outgoing connections leave from 127.0.0.1, so a port that the system handed
 /// out on another loopback address stays free until it is listened on.
-pub fn own_ip() -> IpAddr {
+pub fn unique_ip() -> IpAddr {
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     let pid = std::process::id();
     let b = 16 + (pid % 200) as u8;
@@ -24,7 +24,7 @@
 /// Failure: a process is started in the moment in which a UDP port is tried. Symptom:
 /// its copy of the socket lives until it has replaced itself, and the daemon finds its
 /// port in use and does not start. Whoever starts a process holds this meanwhile.
-pub fn starting() -> MutexGuard<'static, ()> {
+pub fn lock_process_starts() -> MutexGuard<'static, ()> {
     static STARTING: Mutex<()> = Mutex::new(());
     STARTING.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -41,9 +41,9 @@
 /// # Panics
 ///
 /// Panics if the system has no free port, which no test can go on from.
-pub fn free<const N: usize>(ip: IpAddr) -> [SocketAddr; N] {
+pub fn free_addrs<const N: usize>(ip: IpAddr) -> [SocketAddr; N] {
     let mut held = Vec::new();
-    let _no_process_starts = starting();
+    let _no_process_starts = lock_process_starts();
     while held.len() < N {
         let (addr, tcp) = bind(ip).expect("the system has free ports");
         if UdpSocket::bind(addr).is_ok() {
--- a/crates/testkit/src/upstream.rs
+++ b/crates/testkit/src/upstream.rs
@@ -31,11 +31,11 @@
     /// Connections it takes.
     pub connections: u16,
     /// Time for a call.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Time during which it is cold, and how much slower it is then.
     pub cold: Option<(Duration, f64)>,
     /// Claims to be idle and ready whatever is true.
-    pub lies: bool,
+    pub claims_idle: bool,
 }
 
 impl Behaviour {
@@ -46,9 +46,9 @@
             service: service.to_string(),
             slots: 10,
             connections: 110,
-            work: Duration::from_millis(2),
+            service_time: Duration::from_millis(2),
             cold: None,
-            lies: false,
+            claims_idle: false,
         }
     }
 }
@@ -61,7 +61,7 @@
 
 impl Ledger {
     /// Records that a request is being run.
-    pub fn ran(&self, id: &str) {
+    pub fn record_run(&self, id: &str) {
         *lock(&self.runs).entry(id.to_string()).or_default() += 1;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Returns how many requests were run more than once.
-    pub fn doubled(&self) -> usize {
+    pub fn duplicates(&self) -> usize {
         lock(&self.runs).values().filter(|count| **count > 1).count()
     }
 
@@ -91,7 +91,7 @@
     ledger: Ledger,
     started: Instant,
     running: AtomicU32,
-    most_running: AtomicU32,
+    max_running: AtomicU32,
     executions: AtomicU64,
     cancelled: AtomicU64,
     draining: AtomicBool,
@@ -124,7 +124,7 @@
             ledger,
             started: Instant::now(),
             running: AtomicU32::new(0),
-            most_running: AtomicU32::new(0),
+            max_running: AtomicU32::new(0),
             executions: AtomicU64::new(0),
             cancelled: AtomicU64::new(0),
             draining: AtomicBool::new(false),
@@ -212,8 +212,8 @@
     }
 
     /// Returns the most calls it ever ran at once.
-    pub fn most_running(&self) -> u32 {
-        self.shared.most_running.load(Ordering::SeqCst)
+    pub fn max_running(&self) -> u32 {
+        self.shared.max_running.load(Ordering::SeqCst)
     }
 
     /// Returns when it last began a call.
@@ -222,7 +222,7 @@
     }
 
     async fn report(&self) -> Result<(), SendError> {
-        let lies = lock(&self.shared.behaviour).lies;
+        let lies = lock(&self.shared.behaviour).claims_idle;
         let readiness = if lies { "ready" } else { self.readiness() };
         let in_flight = if lies { 0 } else { self.shared.running.load(Ordering::SeqCst) };
         let uri = format!("/v1/upstreams/{}/report", lock(&self.shared.behaviour).instance);
@@ -300,14 +300,14 @@
         return res;
     }
     guard.1 = false;
-    shared.most_running.fetch_max(running, Ordering::SeqCst);
+    shared.max_running.fetch_max(running, Ordering::SeqCst);
     let (head, sent) = req.into_parts();
     let header = |name: &str| {
         head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_string()
     };
     let id = header("cicadashift-request-id");
     shared.executions.fetch_add(1, Ordering::SeqCst);
-    shared.ledger.ran(&id);
+    shared.ledger.record_run(&id);
     *lock(&shared.last_start) = Some(Instant::now());
     let echo = head.uri.path().starts_with("/echo");
     let size: usize = head
@@ -338,8 +338,10 @@
 
 fn work_time(shared: &Shared, behaviour: &Behaviour) -> Duration {
     match behaviour.cold {
-        Some((time, factor)) if shared.started.elapsed() < time => behaviour.work.mul_f64(factor),
-        _ => behaviour.work,
+        Some((time, factor)) if shared.started.elapsed() < time => {
+            behaviour.service_time.mul_f64(factor)
+        }
+        _ => behaviour.service_time,
     }
 }
 
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -9,9 +9,9 @@
 //! all that is needed.
 
 use cicadashift_http::exec;
-use cicadashift_testkit::caller::{Caller, Got};
+use cicadashift_testkit::caller::{CallOutcome, Caller};
 use cicadashift_testkit::fleet::{Fleet, Spec};
-use cicadashift_testkit::mesh::{EVERYWHERE, Mesh};
+use cicadashift_testkit::mesh::{Mesh, SELECT_ALL};
 use cicadashift_testkit::platform::Platform;
 use cicadashift_testkit::upstream::Behaviour;
 use std::sync::Arc;
@@ -61,9 +61,9 @@
     })
     .await;
     let fleet = &mesh.fleet;
-    println!("started {} daemons in {} failure domains", fleet.nodes.len(), DOMAINS.len());
+    println!("started {} daemons in {} failure domains", fleet.daemons.len(), DOMAINS.len());
     println!("{} upstreams of service notice are announced", mesh.upstreams.len());
-    mesh.select(EVERYWHERE).await;
+    mesh.set_selector(SELECT_ALL).await;
     let (version, took) = mesh.roll_out(CONFIG).await;
     println!("version {version} is in force everywhere {} ms after acceptance", took.as_millis());
 
@@ -71,7 +71,7 @@
     let callers: Vec<_> = DOMAINS
         .iter()
         .map(|domain| {
-            let node = &fleet.nodes[fleet.in_domain(domain)[0]];
+            let node = &fleet.daemons[fleet.in_domain(domain)[0]];
             let (tally, caller) = (tally.clone(), Caller::new(node.callers));
             let domain = domain.to_string();
             exec::spawn(async move { load(&domain, caller, tally).await })
@@ -87,7 +87,7 @@
     }
     let (sent, lost) = (tally.sent.load(Ordering::Relaxed), tally.lost.load(Ordering::Relaxed));
     let refused = tally.refused.load(Ordering::Relaxed);
-    let doubled = mesh.ledger.doubled();
+    let doubled = mesh.ledger.duplicates();
     println!("{sent} calls from all domains: {refused} refused, {lost} lost, {doubled} doubled");
     println!("the platform was called {} times in all", mesh.platform.counts().calls());
     by_hand(fleet, &mesh.platform);
@@ -114,9 +114,9 @@
         let method = if n % 4 == 0 { "POST" } else { "GET" };
         let call = caller.call(method, "/notices/today", &id, b"").await;
         tally.sent.fetch_add(1, Ordering::Relaxed);
-        match call.got {
-            Got::Answer { request, .. } if request == id => {}
-            Got::NotRun { .. } => {
+        match call.outcome {
+            CallOutcome::Answer { request, .. } if request == id => {}
+            CallOutcome::NotRun { .. } => {
                 tally.refused.fetch_add(1, Ordering::Relaxed);
             }
             other => {
@@ -129,7 +129,7 @@
 }
 
 fn by_hand(fleet: &Fleet, platform: &Platform) {
-    let node = &fleet.nodes[0];
+    let node = &fleet.daemons[0];
     println!("\nby hand, while it runs with --stay:");
     println!("  curl -i http://{}/notices/today", node.callers);
     println!("  cargo run --release -- status --daemon {}", node.upstreams);
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cicadashift_testkit::mesh::{EVERYWHERE, Mesh, NOTICES};
+use cicadashift_testkit::mesh::{Mesh, NOTICES_CONFIG, SELECT_ALL};
 use cicadashift_testkit::upstream::Behaviour;
 use common::{run, spec};
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 
 impl Operator {
     fn new(mesh: &Mesh) -> Operator {
-        let daemon = mesh.fleet.nodes[0].upstreams.to_string();
+        let daemon = mesh.fleet.daemons[0].upstreams.to_string();
         let name = format!("cicadashift-client-{}", daemon.replace([':', '.'], "-"));
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).expect("a temporary folder");
@@ -64,14 +64,14 @@
             Some(Behaviour::plain("notice", &format!("notice-{}", node.name)))
         })
         .await;
-        assert!(mesh.fleet.wait_service("notice", cicadashift_testkit::mesh::PATIENCE).await);
+        assert!(mesh.fleet.wait_service("notice", cicadashift_testkit::mesh::WAIT_TIMEOUT).await);
         // Accepting waits until the roster names the service.
-        mesh.accept(NOTICES).await.expect("accepted");
+        mesh.accept(NOTICES_CONFIG).await.expect("accepted");
         let op = Operator::new(&mesh);
-        let selector = op.file("selector.json", EVERYWHERE);
-        let config = op.file("config.json", NOTICES);
-        let unknown = op.file("unknown.json", &NOTICES.replace("\"notice\"", "\"nobody\""));
-        let field = op.file("field.json", &NOTICES.replace("\"id\"", "\"name\""));
+        let selector = op.file("selector.json", SELECT_ALL);
+        let config = op.file("config.json", NOTICES_CONFIG);
+        let unknown = op.file("unknown.json", &NOTICES_CONFIG.replace("\"notice\"", "\"nobody\""));
+        let field = op.file("field.json", &NOTICES_CONFIG.replace("\"id\"", "\"name\""));
         let text = op.file("text.json", "hello");
         let lines = [
             format!("selector set {selector} --dry-run"),
@@ -115,7 +115,7 @@
     run(async {
         let mesh = Mesh::serving(spec(&["a", "b"], 1)).await;
         let op = Operator::new(&mesh);
-        let until = std::time::Instant::now() + cicadashift_testkit::mesh::PATIENCE;
+        let until = std::time::Instant::now() + cicadashift_testkit::mesh::WAIT_TIMEOUT;
         while mesh.platform.keys("cicadashift/record/").len() < 2 {
             assert!(std::time::Instant::now() < until, "the record is written");
             smol::Timer::after(std::time::Duration::from_millis(100)).await;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use cicadashift_http::exec;
-use cicadashift_testkit::caller::{Caller, Got};
+use cicadashift_testkit::caller::{CallOutcome, Caller};
 use cicadashift_testkit::fleet::Spec;
 use cicadashift_testkit::mesh::Mesh;
 use std::future::Future;
@@ -21,16 +21,20 @@
 
 /// A caller connected to a daemon.
 pub fn caller(mesh: &Mesh, i: usize) -> Caller {
-    Caller::new(mesh.fleet.nodes[i].callers)
+    Caller::new(mesh.fleet.daemons[i].callers)
 }
 
 /// Calls until a condition holds on what comes back.
-pub async fn call_until(caller: &Caller, id: &str, holds: impl Fn(&Got) -> bool) -> Got {
-    let until = Instant::now() + cicadashift_testkit::mesh::PATIENCE;
+pub async fn call_until(
+    caller: &Caller,
+    id: &str,
+    holds: impl Fn(&CallOutcome) -> bool,
+) -> CallOutcome {
+    let until = Instant::now() + cicadashift_testkit::mesh::WAIT_TIMEOUT;
     let mut n = 0;
     loop {
         n += 1;
-        let got = caller.call("GET", "/notices", &format!("{id}-{n}"), b"").await.got;
+        let got = caller.call("GET", "/notices", &format!("{id}-{n}"), b"").await.outcome;
         if holds(&got) {
             return got;
         }
@@ -40,6 +44,6 @@
 }
 
 /// Whether a call was answered by an upstream.
-pub fn is_answer(got: &Got) -> bool {
-    matches!(got, Got::Answer { .. })
+pub fn is_answer(got: &CallOutcome) -> bool {
+    matches!(got, CallOutcome::Answer { .. })
 }
--- a/tests/crashing.rs
+++ b/tests/crashing.rs
@@ -5,8 +5,8 @@
 use cicadashift_http::exec;
 use cicadashift_http::hyper::Method;
 use cicadashift_testkit::hosted::fleet::{HostedCaller, HostedFleet};
-use cicadashift_testkit::hosted::instance::{Fatal, Manner};
-use cicadashift_testkit::hosted::store::Down;
+use cicadashift_testkit::hosted::instance::{AnswerMode, FatalRun};
+use cicadashift_testkit::hosted::store::Outage;
 use common::run;
 use std::path::Path;
 use std::sync::Arc;
@@ -26,15 +26,16 @@
 }
 
 /// Returns the runs of a request that ends instances, at all instances, in order of time.
-fn fatal_runs(fleet: &HostedFleet, path: &str) -> Vec<Fatal> {
-    let mut runs: Vec<_> = fleet.nodes.iter().flat_map(|node| node.instance.fatal()).collect();
+fn fatal_runs(fleet: &HostedFleet, path: &str) -> Vec<FatalRun> {
+    let mut runs: Vec<_> =
+        fleet.daemons.iter().flat_map(|node| node.instance.fatal_runs()).collect();
     runs.retain(|run| run.path == path);
     runs.sort_by_key(|run| run.at);
     runs
 }
 
 /// Returns how many runs began when all daemons should have quarantined the request.
-fn count_late(runs: &[Fatal]) -> usize {
+fn count_late(runs: &[FatalRun]) -> usize {
     let Some(third) = runs.get(FREE_ENDS - 1) else { return 0 };
     let deadline = third.at + QUARANTINE_DELAY;
     runs.iter().filter(|run| run.at > deadline).count()
@@ -64,7 +65,8 @@
 /// Waits until the first `count` daemons have received the records of `count` instances.
 async fn wait_for_instances(fleet: &HostedFleet, count: usize) {
     for i in 0..count {
-        let known = fleet.wait(async |fleet: &HostedFleet| fleet.knows(i, count).await).await;
+        let known =
+            fleet.wait(async |fleet: &HostedFleet| fleet.sees_instances(i, count).await).await;
         assert!(known, "daemon {i} has not received all instances: {}", fleet.log(i));
     }
 }
@@ -134,7 +136,10 @@
     // request among the calls in flight.
     run(async {
         let fleet = serving(4).await;
-        fleet.nodes.iter().for_each(|node| node.instance.set_work(Duration::from_millis(100)));
+        fleet
+            .daemons
+            .iter()
+            .for_each(|node| node.instance.set_service_time(Duration::from_millis(100)));
         let path = "/notices/guilty-left";
         let until = Instant::now() + Duration::from_secs(7);
         let mut n = 0;
@@ -194,7 +199,10 @@
     // no answer can clear these reads, and they are refused for ten minutes.
     run(async {
         let fleet = serving(2).await;
-        fleet.nodes.iter().for_each(|node| node.instance.set_work(Duration::from_millis(300)));
+        fleet
+            .daemons
+            .iter()
+            .for_each(|node| node.instance.set_service_time(Duration::from_millis(300)));
         let paths = ["/notices/popular-1", "/notices/popular-2"];
         let calls: Vec<_> = (0..16)
             .map(|n| {
@@ -203,11 +211,14 @@
             })
             .collect();
         smol::Timer::after(Duration::from_millis(100)).await;
-        fleet.nodes.iter().for_each(|node| node.instance.end());
+        fleet.daemons.iter().for_each(|node| node.instance.crash());
         for call in calls {
             call.await;
         }
-        fleet.nodes.iter().for_each(|node| node.instance.set_work(Duration::from_millis(2)));
+        fleet
+            .daemons
+            .iter()
+            .for_each(|node| node.instance.set_service_time(Duration::from_millis(2)));
         wait_for_instances(&fleet, 2).await;
         for path in paths {
             let served = async |fleet: &HostedFleet| {
@@ -230,8 +241,8 @@
     // requests must be answered when they are repeated.
     run(async {
         let fleet = serving(4).await;
-        for node in &fleet.nodes {
-            node.instance.set_work(Duration::from_millis(60));
+        for node in &fleet.daemons {
+            node.instance.set_service_time(Duration::from_millis(60));
         }
         for round in 0..4 {
             let path = |n: usize| format!("/notices/of-{n}");
@@ -243,7 +254,7 @@
                 .collect();
             smol::Timer::after(Duration::from_millis(30)).await;
             let domain = if round % 2 == 0 { 0..2 } else { 2..4 };
-            fleet.nodes[domain].iter().for_each(|node| node.instance.end());
+            fleet.daemons[domain].iter().for_each(|node| node.instance.crash());
             for call in calls {
                 call.await;
             }
@@ -262,12 +273,12 @@
     // request is sent twenty times; once answers are complete again it must be answered.
     run(async {
         let fleet = serving(2).await;
-        fleet.nodes.iter().for_each(|node| node.instance.set_manner(Manner::Truncating));
+        fleet.daemons.iter().for_each(|node| node.instance.set_answer_mode(AnswerMode::Truncating));
         for n in 0..20 {
             let status = fleet.status(n % 2, "/notices/broken", &format!("broken-{n}")).await;
             assert_eq!(status, Some(502));
         }
-        fleet.nodes.iter().for_each(|node| node.instance.set_manner(Manner::Good));
+        fleet.daemons.iter().for_each(|node| node.instance.set_answer_mode(AnswerMode::Normal));
         assert_eq!(fleet.status(0, "/notices/broken", "whole").await, Some(200));
     });
 }
@@ -281,7 +292,7 @@
     run(async {
         let mut fleet = serving(4).await;
         let path = "/notices/guilty-3";
-        fleet.store.fault(|faults| faults.down = Some(Down::Busy));
+        fleet.store.change_faults(|faults| faults.down = Some(Outage::Busy));
         fleet.signal(2, "-STOP");
         fleet.kill(3);
         repeat_until_two_ends(&fleet, 0, path).await;
@@ -306,7 +317,7 @@
     run(async {
         let mut fleet = serving(3).await;
         let path = "/notices/guilty-7";
-        fleet.store.fault(|faults| faults.down = Some(Down::Busy));
+        fleet.store.change_faults(|faults| faults.down = Some(Outage::Busy));
         fleet.kill(2);
         repeat_until_two_ends(&fleet, 0, path).await;
         smol::Timer::after(Duration::from_secs(1)).await;
@@ -327,9 +338,9 @@
     run(async {
         let mut fleet = serving(3).await;
         let path = "/notices/guilty-4";
-        fleet.store.fault(|faults| faults.down = Some(Down::Busy));
+        fleet.store.change_faults(|faults| faults.down = Some(Outage::Busy));
         repeat_until_two_ends(&fleet, 1, path).await;
-        fleet.store.fault(|faults| faults.down = None);
+        fleet.store.change_faults(|faults| faults.down = None);
         let is_stored =
             async |fleet: &HostedFleet| !fleet.store.keys("cicadashift/quarantine/").is_empty();
         assert!(fleet.wait(is_stored).await, "{}", fleet.log(1));
@@ -381,7 +392,7 @@
 async fn quarantine(fleet: &HostedFleet, i: usize, args: &[&str]) -> String {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_cicadashift"));
     command.arg("quarantine").args(args);
-    command.arg("--daemon").arg(fleet.nodes[i].control.to_string());
+    command.arg("--daemon").arg(fleet.daemons[i].control.to_string());
     let output = smol::unblock(move || command.output()).await.expect("the command can be started");
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use cicadashift_core::delivery::head::Operation;
-use cicadashift_testkit::caller::Got;
-use cicadashift_testkit::mesh::{Mesh, NOTICES, PATIENCE};
+use cicadashift_testkit::caller::CallOutcome;
+use cicadashift_testkit::mesh::{Mesh, NOTICES_CONFIG, WAIT_TIMEOUT};
 use common::{call_until, caller, is_answer, run, spec};
 use std::time::Duration;
 
@@ -20,10 +20,10 @@
     run(async {
         let mut mesh = Mesh::serving(spec(&["a"], 3)).await;
         let (version, _) = mesh.roll_out(CHANGED).await;
-        mesh.platform.fault(|faults| faults.outage = true);
+        mesh.platform.change_faults(|faults| faults.outage = true);
         mesh.fleet.kill(2);
         mesh.fleet.restart(2);
-        let took = mesh.fleet.wait_running(&[2], version, PATIENCE).await;
+        let took = mesh.fleet.wait_running(&[2], version, WAIT_TIMEOUT).await;
         assert!(took.is_some(), "{}", mesh.fleet.log(2));
         mesh.announce_all().await;
         call_until(&caller(&mesh, 2), "after", is_answer).await;
@@ -37,7 +37,7 @@
     // time to retry, until the store answers again.
     run(async {
         let mut mesh = Mesh::serving(spec(&["a"], 3)).await;
-        mesh.platform.fault(|faults| faults.outage = true);
+        mesh.platform.change_faults(|faults| faults.outage = true);
         for i in mesh.all() {
             mesh.fleet.kill(i);
         }
@@ -45,9 +45,11 @@
             mesh.fleet.restart(i);
         }
         mesh.announce_all().await;
-        assert!(mesh.fleet.wait_joined(PATIENCE).await);
+        assert!(mesh.fleet.wait_joined(WAIT_TIMEOUT).await);
         let refused = caller(&mesh, 0).call("GET", "/notices", "early", b"").await;
-        let Got::NotRun { reason, retry_after } = refused.got else { panic!("{refused:?}") };
+        let CallOutcome::NotRun { reason, retry_after } = refused.outcome else {
+            panic!("{refused:?}")
+        };
         assert_eq!(reason, "no-configuration");
         // The time is spread, so that callers refused at the same moment do not all return
         // at the same moment.
@@ -56,7 +58,7 @@
         assert_eq!(mesh.ledger.count("early"), 0);
         let status = mesh.fleet.status(0).await.expect("it answers operators");
         assert_eq!((status["floor"].is_null(), status["running"].as_u64()), (true, Some(0)));
-        mesh.platform.fault(|faults| faults.outage = false);
+        mesh.platform.change_faults(|faults| faults.outage = false);
         call_until(&caller(&mesh, 0), "late", is_answer).await;
     });
 }
@@ -79,9 +81,9 @@
         mesh.fleet.freeze(reader, true);
         let version = mesh.accept(CHANGED).await.expect("accepted");
         let others: Vec<_> = mesh.all().into_iter().filter(|i| *i != reader).collect();
-        assert!(mesh.fleet.wait_running(&others, version, PATIENCE).await.is_some());
+        assert!(mesh.fleet.wait_running(&others, version, WAIT_TIMEOUT).await.is_some());
         mesh.fleet.freeze(reader, false);
-        assert!(mesh.fleet.wait_running(&mesh.all(), version, PATIENCE).await.is_some());
+        assert!(mesh.fleet.wait_running(&mesh.all(), version, WAIT_TIMEOUT).await.is_some());
         call_until(&caller(&mesh, reader), "thawed", is_answer).await;
     });
 }
@@ -92,11 +94,11 @@
     // version that the write created, and no second version is created.
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
-        let before = mesh.accept(NOTICES).await.expect("accepted");
-        mesh.platform.fault(|faults| faults.lose_answers = 2);
+        let before = mesh.accept(NOTICES_CONFIG).await.expect("accepted");
+        mesh.platform.change_faults(|faults| faults.lose_answers = 2);
         let version = mesh.accept(CHANGED).await.expect("settled");
         assert_eq!(version, before + 1);
-        let next = mesh.accept(NOTICES).await.expect("accepted");
+        let next = mesh.accept(NOTICES_CONFIG).await.expect("accepted");
         assert_eq!(next, before + 2);
     });
 }
@@ -131,7 +133,7 @@
         let mesh = Mesh::serving(spec(&["a"], 3)).await;
         let before = mesh.fleet.status(0).await.expect("it answers")["running"].as_u64();
         let objects = mesh.platform.keys("cicadashift/object/");
-        mesh.platform.fault(|faults| faults.delay = Duration::from_millis(150));
+        mesh.platform.change_faults(|faults| faults.delay = Duration::from_millis(150));
         let version = mesh.accept(CHANGED).await.expect("accepted");
         for key in mesh.platform.keys("cicadashift/object/") {
             let text = mesh.platform.get(&key).unwrap_or_default();
@@ -139,7 +141,7 @@
                 mesh.platform.corrupt(&key, b"damaged");
             }
         }
-        mesh.platform.fault(|faults| faults.delay = Duration::ZERO);
+        mesh.platform.change_faults(|faults| faults.delay = Duration::ZERO);
         let key = version.to_string();
         let is_reported = |status: &serde_json::Value| !status["bad"][&key].is_null();
         let mut reader = Vec::new();
@@ -148,12 +150,12 @@
                 reader.push(i);
             }
         }
-        assert!(mesh.fleet.wait_all(&reader, PATIENCE, is_reported).await.is_some());
+        assert!(mesh.fleet.wait_all(&reader, WAIT_TIMEOUT, is_reported).await.is_some());
         for i in mesh.all() {
             assert_eq!(mesh.fleet.status(i).await.expect("it answers")["running"].as_u64(), before);
-            assert!(is_answer(&caller(&mesh, i).call("GET", "/notices", "on", b"").await.got));
+            assert!(is_answer(&caller(&mesh, i).call("GET", "/notices", "on", b"").await.outcome));
         }
-        mesh.roll_out(NOTICES).await;
+        mesh.roll_out(NOTICES_CONFIG).await;
     });
 }
 
@@ -170,8 +172,8 @@
         }
         let (version, _) = mesh.roll_out(CHANGED).await;
         mesh.fleet.cut(false);
-        assert!(mesh.fleet.wait_running(&mesh.all(), version, PATIENCE).await.is_some());
-        assert_eq!(mesh.ledger.doubled(), 0);
+        assert!(mesh.fleet.wait_running(&mesh.all(), version, WAIT_TIMEOUT).await.is_some());
+        assert_eq!(mesh.ledger.duplicates(), 0);
     });
 }
 
@@ -183,11 +185,11 @@
         let mesh = Mesh::serving(spec(&["a"], 3)).await;
         mesh.upstreams[0].drain().await.expect("the daemon takes the report");
         let elsewhere = |status: &serde_json::Value| status["services"]["notice"] == 2;
-        assert!(mesh.fleet.wait_all(&mesh.all(), PATIENCE, elsewhere).await.is_some());
+        assert!(mesh.fleet.wait_all(&mesh.all(), WAIT_TIMEOUT, elsewhere).await.is_some());
         let before = mesh.upstreams[0].executions();
         for n in 0..60 {
             let call = caller(&mesh, n % 3).call("POST", "/notices", &format!("d-{n}"), b"").await;
-            assert!(is_answer(&call.got), "{call:?}");
+            assert!(is_answer(&call.outcome), "{call:?}");
         }
         assert_eq!(mesh.upstreams[0].executions(), before);
     });
@@ -200,7 +202,9 @@
     // call is answered by another upstream.
     run(async {
         let mut mesh = Mesh::serving(spec(&["a"], 3)).await;
-        mesh.upstreams.iter().for_each(|u| u.change(|b| b.work = Duration::from_millis(700)));
+        mesh.upstreams
+            .iter()
+            .for_each(|u| u.change(|b| b.service_time = Duration::from_millis(700)));
         let entry = caller(&mesh, 0);
         let calls: Vec<_> = (0..9)
             .map(|n| {
@@ -218,8 +222,8 @@
         mesh.fleet.kill(2);
         for task in calls {
             let (method, call) = task.await;
-            let is_expected =
-                is_answer(&call.got) || (method == "POST" && call.got == Got::Unknown);
+            let is_expected = is_answer(&call.outcome)
+                || (method == "POST" && call.outcome == CallOutcome::Unknown);
             assert!(is_expected, "{method} {call:?}");
         }
         for n in (0..9).filter(|n| n % 3 != 0) {
--- a/tests/hosted.rs
+++ b/tests/hosted.rs
@@ -6,8 +6,8 @@
 
 use cicadashift_http::hyper::Method;
 use cicadashift_testkit::hosted::fleet::{HostedFleet, config};
-use cicadashift_testkit::hosted::instance::{LARGE_BYTES, Manner};
-use cicadashift_testkit::hosted::store::{CONFIG_KEY, Down};
+use cicadashift_testkit::hosted::instance::{AnswerMode, LARGE_BYTES};
+use cicadashift_testkit::hosted::store::{CONFIG_KEY, Outage};
 use common::run;
 use serde_json::json;
 use smol::io::AsyncWriteExt;
@@ -46,8 +46,8 @@
             assert!(res.headers().contains_key("x-server-stamp"));
             assert_eq!(fleet.ledger.count(&id), 1);
         }
-        for node in &fleet.nodes {
-            for (service, deadline) in node.instance.seen() {
+        for node in &fleet.daemons {
+            for (service, deadline) in node.instance.caller_headers() {
                 assert_eq!(service, "notice");
                 assert!(deadline.parse::<u64>().expect("a number") <= 1500, "{deadline}");
             }
@@ -163,21 +163,21 @@
     // acknowledgements reaches the other two.
     run(async {
         let fleet = serving(3).await;
-        assert!(fleet.nodes[0].instance.drain().await);
-        assert!(fleet.nodes[1].instance.leave().await);
-        let seen = [0, 1].map(|i| fleet.nodes[i].instance.seen().len());
+        assert!(fleet.daemons[0].instance.drain().await);
+        assert!(fleet.daemons[1].instance.leave().await);
+        let seen = [0, 1].map(|i| fleet.daemons[i].instance.caller_headers().len());
         for n in 0..60 {
             let status = fleet.status(n % 3, "/notices/1", &format!("after-{n}")).await;
             assert_eq!(status, Some(200));
         }
-        assert_eq!([0, 1].map(|i| fleet.nodes[i].instance.seen().len()), seen);
+        assert_eq!([0, 1].map(|i| fleet.daemons[i].instance.caller_headers().len()), seen);
         // A delayed report from before the drain does not bring an instance back.
-        assert!(fleet.nodes[0].instance.beat_as("i-0", 0, false).await);
-        assert!(fleet.nodes[1].instance.beat_as("i-1", 99, false).await);
+        assert!(fleet.daemons[0].instance.send_heartbeat_as("i-0", 0, false).await);
+        assert!(fleet.daemons[1].instance.send_heartbeat_as("i-1", 99, false).await);
         for n in 0..20 {
             fleet.status(n % 3, "/notices/1", &format!("late-{n}")).await;
         }
-        assert_eq!([0, 1].map(|i| fleet.nodes[i].instance.seen().len()), seen);
+        assert_eq!([0, 1].map(|i| fleet.daemons[i].instance.caller_headers().len()), seen);
     });
 }
 
@@ -188,8 +188,8 @@
     // that it has read.
     run(async {
         let mut fleet = serving(3).await;
-        for node in &fleet.nodes {
-            node.instance.set_work(Duration::from_millis(300));
+        for node in &fleet.daemons {
+            node.instance.set_service_time(Duration::from_millis(300));
         }
         fleet.signal(0, "-TERM");
         let ids: Vec<String> = (0..12).map(|n| format!("stop-{n}")).collect();
@@ -247,7 +247,7 @@
             let newer = async |fleet: &HostedFleet| fleet.status(i, "/newer/1", "n").await;
             assert!(fleet.wait(async |fleet| newer(fleet).await == Some(200)).await);
         }
-        fleet.store.fault(|faults| faults.down = Some(Down::Silent));
+        fleet.store.change_faults(|faults| faults.down = Some(Outage::Silent));
         fleet.kill(2);
         fleet.restart(2);
         let mut statuses = Vec::new();
@@ -270,7 +270,7 @@
     // they serve requests: the target is two seconds, and the test allows four.
     run(async {
         let fleet = HostedFleet::start(program(), 2);
-        fleet.store.fault(|faults| faults.down = Some(Down::Silent));
+        fleet.store.change_faults(|faults| faults.down = Some(Outage::Silent));
         fleet.put_config(1, &["/notices/"]);
         let up = async |fleet: &HostedFleet| fleet.status(0, "/notices/1", "early").await.is_some();
         assert!(fleet.wait(up).await);
@@ -279,7 +279,7 @@
         let wait: f64 = res.headers()["retry-after"].to_str().expect("text").parse().expect("s");
         assert!((0.1..=1.0).contains(&wait), "{wait}");
         assert!(!fleet.is_ready(0).await);
-        fleet.store.fault(|faults| faults.down = None);
+        fleet.store.change_faults(|faults| faults.down = None);
         let back = Instant::now();
         let served = async |fleet: &HostedFleet| fleet.status(0, "/notices/1", "s").await;
         assert!(fleet.wait(async |fleet| served(fleet).await == Some(200)).await);
@@ -295,15 +295,15 @@
     // that the store revokes are written again.
     run(async {
         let fleet = serving(2).await;
-        for (version, down) in [(20, Down::Busy), (21, Down::TooMany), (22, Down::Silent)] {
-            fleet.store.fault(|faults| faults.down = Some(down));
+        for (version, down) in [(20, Outage::Busy), (21, Outage::TooMany), (22, Outage::Silent)] {
+            fleet.store.change_faults(|faults| faults.down = Some(down));
             for n in 0..20 {
                 let id = format!("out-{version}-{n}");
                 assert_eq!(fleet.status(n % 2, "/notices/1", &id).await, Some(200));
             }
             fleet.store.drop_history();
-            fleet.store.lapse_leases();
-            fleet.store.fault(|faults| {
+            fleet.store.expire_all_leases();
+            fleet.store.change_faults(|faults| {
                 faults.down = None;
                 faults.lose_answers = 1;
             });
@@ -315,7 +315,7 @@
             assert!(fleet.wait(async |fleet| served(fleet).await == Some(200)).await);
             assert!(back.elapsed() < IN_FORCE + IN_FORCE, "{down:?} {:?}", back.elapsed());
         }
-        fleet.store.revoke("cicadashift/daemon/");
+        fleet.store.delete_prefix("cicadashift/daemon/");
         let entries =
             async |fleet: &HostedFleet| fleet.store.keys("cicadashift/daemon/").len() == 2;
         let until = Instant::now() + Duration::from_secs(20);
@@ -332,11 +332,11 @@
     // get the new route as well, since the daemon fetches the version from a member.
     run(async {
         let fleet = serving(3).await;
-        fleet.nodes[2].store_link.cut(true);
+        fleet.daemons[2].store_link.cut(true);
         fleet.put_config(30, &["/newer/"]);
         let served = async |fleet: &HostedFleet| fleet.status(2, "/newer/1", "n").await;
         assert!(fleet.wait(async |fleet| served(fleet).await == Some(200)).await);
-        fleet.nodes[2].store_link.cut(false);
+        fleet.daemons[2].store_link.cut(false);
     });
 }
 
@@ -350,8 +350,8 @@
         fleet.put_config(40, &["/lift/"]);
         let known = async |fleet: &HostedFleet| fleet.status(0, "/lift/1", "k").await;
         assert!(fleet.wait(async |fleet| known(fleet).await == Some(200)).await);
-        for node in &fleet.nodes {
-            node.instance.set_manner(Manner::WrongId);
+        for node in &fleet.daemons {
+            node.instance.set_answer_mode(AnswerMode::WrongId);
         }
         for n in 0..10 {
             let id = format!("wrong-{n}");
@@ -373,7 +373,7 @@
         fleet.put_config(50, &["/notices/", "/lift/"]);
         let known = async |fleet: &HostedFleet| fleet.status(0, "/lift/1", "k").await;
         assert!(fleet.wait(async |fleet| known(fleet).await == Some(200)).await);
-        fleet.nodes[0].instance.set_manner(Manner::Shedding);
+        fleet.daemons[0].instance.set_answer_mode(AnswerMode::Shedding);
         for n in 0..6 {
             let id = format!("shed-{n}");
             let path = if n % 2 == 0 { "/lift/1" } else { "/notices/1" };
@@ -381,8 +381,8 @@
             assert_eq!(res.status().as_u16(), 200, "{}", fleet.log(0));
             assert_eq!(fleet.ledger.count(&id), 1);
         }
-        for node in &fleet.nodes {
-            node.instance.set_manner(Manner::Failing);
+        for node in &fleet.daemons {
+            node.instance.set_answer_mode(AnswerMode::Failing);
         }
         let res = fleet.call(0, Method::GET, "/notices/1", "fails").await.expect("an answer");
         assert_eq!(res.status().as_u16(), 500);
@@ -400,7 +400,7 @@
         for n in 0..60 {
             fleet.status(0, "/notices/1", &format!("learn-{n}")).await;
         }
-        fleet.nodes[0].instance.set_manner(Manner::Silent);
+        fleet.daemons[0].instance.set_answer_mode(AnswerMode::Silent);
         let began = Instant::now();
         for n in 0..4 {
             let status = fleet.status(0, "/notices/1", &format!("lost-{n}")).await;
@@ -421,20 +421,20 @@
         fleet.put_config(2, &["/notices/", "/lift/"]);
         let served = async |fleet: &HostedFleet| fleet.status(0, "/lift/0", "k").await;
         assert!(fleet.wait(async |fleet| served(fleet).await == Some(200)).await);
-        fleet.nodes[0].instance.set_work(Duration::from_secs(60));
+        fleet.daemons[0].instance.set_service_time(Duration::from_secs(60));
         let head = |line: &str, id: &str| {
             format!("{line} HTTP/1.1\r\nhost: notices.example\r\nx-request-id: {id}\r\n\r\n")
         };
         let sent = head("GET /notices/1", "first")
             + &head("GET /notices/2", "second")
             + &head("POST /lift/1", "third");
-        let callers = fleet.nodes[0].callers;
+        let callers = fleet.daemons[0].callers;
         let mut caller = smol::Async::<std::net::TcpStream>::connect(callers).await.expect("up");
         caller.write_all(sent.as_bytes()).await.expect("the daemon takes it");
         let ran = |fleet: &HostedFleet, id: &str| fleet.ledger.count(id) == 1;
         let both = async |fleet: &HostedFleet| ran(fleet, "first") && ran(fleet, "second");
         assert!(fleet.wait(both).await, "{}", fleet.log(0));
-        assert_eq!(fleet.nodes[0].instance.abandoned(), Vec::<String>::new());
+        assert_eq!(fleet.daemons[0].instance.abandoned(), Vec::<String>::new());
         assert_eq!(fleet.ledger.count("third"), 0);
     });
 }
@@ -446,8 +446,8 @@
     // work within half a second instead of holding a slot.
     run(async {
         let fleet = serving(2).await;
-        assert!(fleet.nodes[0].instance.drain().await);
-        fleet.nodes[1].instance.set_work(Duration::from_secs(2));
+        assert!(fleet.daemons[0].instance.drain().await);
+        fleet.daemons[1].instance.set_service_time(Duration::from_secs(2));
         let caller = fleet.caller(0);
         let asking = caller.call(Method::GET, "/notices/1", "left");
         let disconnect = async {
@@ -457,7 +457,7 @@
         assert!(smol::future::or(asking, disconnect).await.is_none());
         drop(caller);
         let left = Instant::now();
-        let ended = async |fleet: &HostedFleet| fleet.nodes[1].instance.abandoned() == ["left"];
+        let ended = async |fleet: &HostedFleet| fleet.daemons[1].instance.abandoned() == ["left"];
         assert!(fleet.wait(ended).await, "{}", fleet.log(1));
         assert!(left.elapsed() < Duration::from_millis(500), "{:?}", left.elapsed());
     });
@@ -472,7 +472,7 @@
     run(async {
         let mut fleet = serving(1).await;
         fleet.kill(0);
-        fleet.nodes[0].instance.set_slots(1);
+        fleet.daemons[0].instance.set_slots(1);
         fleet.change_settings(0, "link_mbps", json!(2.0));
         fleet.put_config(2, &["/notices/", "/lookups/"]);
         fleet.restart(0);
@@ -510,21 +510,21 @@
     // instance arrives.
     run(async {
         let fleet = serving(2).await;
-        fleet.nodes[0].instance.set_beats(false);
-        fleet.nodes[0].instance.become_another("i-9");
+        fleet.daemons[0].instance.set_heartbeats(false);
+        fleet.daemons[0].instance.replace_id("i-9");
         for n in 0..20 {
             let id = format!("moved-{n}");
             assert_eq!(fleet.status(0, "/notices/1", &id).await, Some(200), "{}", fleet.log(0));
             assert_eq!(fleet.ledger.count(&id), 1);
         }
-        assert!(fleet.nodes[0].instance.beat_as("i-9", 1, false).await);
-        assert!(fleet.nodes[0].instance.beat_as("i-0", 500, false).await);
+        assert!(fleet.daemons[0].instance.send_heartbeat_as("i-9", 1, false).await);
+        assert!(fleet.daemons[0].instance.send_heartbeat_as("i-0", 500, false).await);
         slow_instances(&fleet);
         let again = async |fleet: &HostedFleet| {
-            let before = fleet.nodes[0].instance.seen().len();
+            let before = fleet.daemons[0].instance.caller_headers().len();
             let ids: Vec<String> = (0..24).map(|n| format!("again-{n}")).collect();
             fleet.statuses(0, "/notices/1", &ids).await;
-            fleet.nodes[0].instance.seen().len() > before
+            fleet.daemons[0].instance.caller_headers().len() > before
         };
         assert!(fleet.wait(again).await, "{}", fleet.log(0));
     });
@@ -537,14 +537,14 @@
     // delayed heartbeats of the old start that report draining do not change this.
     run(async {
         let fleet = serving(1).await;
-        let instance = &fleet.nodes[0].instance;
-        assert!(instance.start_again(1_000).await);
-        assert!(instance.beat_of_start("i-0", 1_000, 900, true).await);
+        let instance = &fleet.daemons[0].instance;
+        assert!(instance.restart_at(1_000).await);
+        assert!(instance.send_heartbeat_of_incarnation("i-0", 1_000, 900, true).await);
         assert_eq!(fleet.status(0, "/notices/1", "drained").await, Some(503));
-        assert!(instance.start_again(2_000).await);
+        assert!(instance.restart_at(2_000).await);
         assert_eq!(fleet.status(0, "/notices/1", "new").await, Some(200), "{}", fleet.log(0));
-        assert!(instance.beat_of_start("i-0", 1_000, 901, true).await);
-        assert!(instance.beat_of_start("i-0", 0, 902, true).await);
+        assert!(instance.send_heartbeat_of_incarnation("i-0", 1_000, 901, true).await);
+        assert!(instance.send_heartbeat_of_incarnation("i-0", 0, 902, true).await);
         for n in 0..10 {
             let status = fleet.status(0, "/notices/1", &format!("still-{n}")).await;
             assert_eq!(status, Some(200), "{}", fleet.log(0));
@@ -558,12 +558,12 @@
     // under its id and gets requests again.
     run(async {
         let fleet = serving(1).await;
-        let instance = &fleet.nodes[0].instance;
-        assert!(instance.start_again(1_000).await);
+        let instance = &fleet.daemons[0].instance;
+        assert!(instance.restart_at(1_000).await);
         assert!(instance.leave().await);
-        assert!(instance.beat_of_start("i-0", 1_000, 50, false).await);
+        assert!(instance.send_heartbeat_of_incarnation("i-0", 1_000, 50, false).await);
         assert_eq!(fleet.status(0, "/notices/1", "gone").await, Some(503));
-        assert!(instance.start_again(2_000).await);
+        assert!(instance.restart_at(2_000).await);
         assert_eq!(fleet.status(0, "/notices/1", "back").await, Some(200), "{}", fleet.log(0));
     });
 }
@@ -590,10 +590,10 @@
         fleet.signal(1, "-CONT");
         slow_instances(&fleet);
         let used = async |fleet: &HostedFleet| {
-            let before = fleet.nodes[1].instance.seen().len();
+            let before = fleet.daemons[1].instance.caller_headers().len();
             let ids: Vec<String> = (0..24).map(|n| format!("awake-{n}")).collect();
             fleet.statuses(0, "/notices/1", &ids).await;
-            fleet.nodes[1].instance.seen().len() > before
+            fleet.daemons[1].instance.caller_headers().len() > before
         };
         let events = |log: &str| {
             let lines = log.lines().filter(|line| !line.contains("\"event\""));
@@ -612,10 +612,10 @@
     // identifies the instance by a request to it.
     run(async {
         let mut fleet = serving(2).await;
-        fleet.nodes[1].instance.set_beats(false);
+        fleet.daemons[1].instance.set_heartbeats(false);
         fleet.kill(1);
         fleet.restart(1);
-        let known = fleet.wait(async |fleet: &HostedFleet| fleet.knows(1, 2).await).await;
+        let known = fleet.wait(async |fleet: &HostedFleet| fleet.sees_instances(1, 2).await).await;
         assert!(known, "{}", last_lines(&fleet.log(1)));
         assert_eq!(fleet.status(1, "/notices/1", "after").await, Some(200));
     });
@@ -654,8 +654,8 @@
     // call in flight.
     run(async {
         let fleet = serving(2).await;
-        assert!(fleet.nodes[0].instance.drain().await);
-        fleet.nodes[1].instance.set_work(Duration::from_millis(900));
+        assert!(fleet.daemons[0].instance.drain().await);
+        fleet.daemons[1].instance.set_service_time(Duration::from_millis(900));
         let call = fleet.status(0, "/notices/1", "waits");
         let faults = async {
             smol::Timer::after(Duration::from_millis(100)).await;
@@ -671,8 +671,8 @@
 
 /// Makes requests slow, so that one instance cannot run a few of them at once.
 fn slow_instances(fleet: &HostedFleet) {
-    for node in &fleet.nodes {
-        node.instance.set_work(Duration::from_millis(100));
+    for node in &fleet.daemons {
+        node.instance.set_service_time(Duration::from_millis(100));
     }
 }
 
--- a/tests/named_limits.rs
+++ b/tests/named_limits.rs
@@ -54,9 +54,9 @@
 /// Runs `callers_each` callers at each daemon, each of which sends one request after the
 /// other until `until`.
 async fn call_all_daemons(fleet: &HostedFleet, callers_each: usize, until: Instant) -> Tally {
-    let callers: Vec<_> = (0..fleet.nodes.len() * callers_each)
+    let callers: Vec<_> = (0..fleet.daemons.len() * callers_each)
         .map(|k| {
-            let caller = fleet.caller(k % fleet.nodes.len());
+            let caller = fleet.caller(k % fleet.daemons.len());
             let name = format!("{:08x}", fastrand::u32(..));
             exec::spawn(async move {
                 let mut tally = Tally::default();
@@ -93,12 +93,12 @@
         let limits = [(0, "1", 1.0), (2, "4.2", 4.2)];
         call_all_daemons(&fleet, 2, Instant::now() + Duration::from_secs(1)).await;
         for (i, text, _) in limits {
-            fleet.nodes[i].instance.name_limit(Some(text));
+            fleet.daemons[i].instance.name_limit(Some(text));
         }
         let named = Instant::now();
         let tally = call_all_daemons(&fleet, 2, named + Duration::from_secs(9)).await;
         for (i, _, limit) in limits {
-            let most = max_in_window(&fleet.nodes[i].instance, named);
+            let most = max_in_window(&fleet.daemons[i].instance, named);
             assert!(most <= allowed(limit), "{most} of {} at {limit} a second", allowed(limit));
             assert!(
                 most as f64 >= 2.0 * limit,
@@ -116,17 +116,17 @@
     // other daemons without it.
     run(async {
         let mut fleet = serving(3).await;
-        fleet.nodes[0].instance.name_limit(Some("1"));
+        fleet.daemons[0].instance.name_limit(Some("1"));
         let named = Instant::now();
         for _ in 0..4 {
             call_all_daemons(&fleet, 3, Instant::now() + Duration::from_secs(2)).await;
             fleet.kill(0);
             fleet.restart(0);
-            let known = fleet.wait(async |fleet| fleet.knows(1, 3).await).await;
+            let known = fleet.wait(async |fleet| fleet.sees_instances(1, 3).await).await;
             assert!(known, "{}", fleet.log(1));
         }
         call_all_daemons(&fleet, 3, Instant::now() + Duration::from_secs(2)).await;
-        let most = max_in_window(&fleet.nodes[0].instance, named);
+        let most = max_in_window(&fleet.daemons[0].instance, named);
         assert!(most <= allowed(1.0), "{most} of {}", allowed(1.0));
     });
 }
@@ -137,7 +137,7 @@
     // a limit of zero under which no call is sent whose answer could lift it.
     run(async {
         let fleet = serving(1).await;
-        let instance = &fleet.nodes[0].instance;
+        let instance = &fleet.daemons[0].instance;
         instance.name_limit(Some("0"));
         call_all_daemons(&fleet, 2, Instant::now() + Duration::from_secs(5)).await;
         instance.name_limit(None);
@@ -160,10 +160,10 @@
 /// Starts daemons with an instance each, of which only the first accepts calls.
 async fn serving_by_first_only(count: usize) -> HostedFleet {
     let fleet = serving(count).await;
-    for node in &fleet.nodes[1..] {
+    for node in &fleet.daemons[1..] {
         assert!(node.instance.leave().await);
     }
-    let alone = fleet.wait(async |fleet| fleet.knows(1, 1).await).await;
+    let alone = fleet.wait(async |fleet| fleet.sees_instances(1, 1).await).await;
     assert!(alone, "{}", fleet.log(1));
     fleet
 }
@@ -189,8 +189,8 @@
     // so loses the signal.
     run(async {
         let mut fleet = serving_by_first_only(3).await;
-        fleet.nodes[0].instance.name_leaving();
-        let instance: Arc<Instance> = fleet.nodes[0].instance.clone();
+        fleet.daemons[0].instance.signal_leaving();
+        let instance: Arc<Instance> = fleet.daemons[0].instance.clone();
         let signalled = Instant::now();
         let before = instance.arrivals().len();
         let mut sent = call_daemon(&fleet, 1, signalled + Duration::from_millis(700)).await;
@@ -210,10 +210,10 @@
     // under the same id.
     run(async {
         let fleet = serving_by_first_only(2).await;
-        let instance = &fleet.nodes[0].instance;
-        instance.name_leaving();
+        let instance = &fleet.daemons[0].instance;
+        instance.signal_leaving();
         call_daemon(&fleet, 1, Instant::now() + Duration::from_secs(1)).await;
-        assert!(instance.start_again(1_771_000_000_000).await);
+        assert!(instance.restart_at(1_771_000_000_000).await);
         let before = instance.arrivals().len();
         let served = fleet.wait(async |fleet| {
             call_daemon(fleet, 1, Instant::now() + Duration::from_millis(200)).await;
@@ -230,12 +230,12 @@
     // report.
     run(async {
         let mut fleet = serving(1).await;
-        fleet.nodes[0].instance.set_beats(false);
+        fleet.daemons[0].instance.set_heartbeats(false);
         fleet.kill(0);
         fleet.restart(0);
         let found = fleet.wait(async |fleet| fleet.log(0).contains("was found by asking it"));
         assert!(found.await, "{}", fleet.log(0));
-        let known = fleet.wait(async |fleet| fleet.knows(0, 1).await).await;
+        let known = fleet.wait(async |fleet| fleet.sees_instances(0, 1).await).await;
         assert!(known, "{}", fleet.log(0));
         assert_eq!(fleet.own_status(0).await["upstreams"][0]["slots"], 9);
     });
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -76,7 +76,8 @@
         }
         let anonymous = status(&fleet, 0, "/open/1", "anonymous", &[forged]).await;
         assert_eq!(anonymous, Some(200));
-        let seen: Vec<_> = fleet.nodes.iter().flat_map(|node| node.instance.senders()).collect();
+        let seen: Vec<_> =
+            fleet.daemons.iter().flat_map(|node| node.instance.request_origins()).collect();
         let received = |id: &str| -> Vec<String> {
             let ran = seen.iter().filter(|sender| sender.id == id);
             ran.map(|sender| sender.organisation.clone()).collect()
@@ -155,7 +156,7 @@
 async fn organisation(fleet: &HostedFleet, args: &[&str]) -> (bool, String) {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_cicadashift"));
     command.arg("organisation").args(args);
-    command.arg("--daemon").arg(fleet.nodes[0].control.to_string());
+    command.arg("--daemon").arg(fleet.daemons[0].control.to_string());
     let output = smol::unblock(move || command.output()).await.expect("cicadashift can be started");
     let text = |buf: &[u8]| String::from_utf8_lossy(buf).into_owned();
     (output.status.success(), text(&output.stdout) + &text(&output.stderr))
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cicadashift_http::exec;
-use cicadashift_testkit::caller::Got;
+use cicadashift_testkit::caller::CallOutcome;
 use cicadashift_testkit::mesh::Mesh;
 use common::{caller, is_answer, run, spec};
 use std::process::Command;
@@ -16,7 +16,10 @@
         for i in mesh.all() {
             let id = format!("call-{i}");
             let call = caller(&mesh, i).call("GET", "/notices/today", &id, b"").await;
-            assert!(matches!(&call.got, Got::Answer { request, .. } if *request == id), "{call:?}");
+            assert!(
+                matches!(&call.outcome, CallOutcome::Answer { request, .. } if *request == id),
+                "{call:?}"
+            );
             assert_eq!(mesh.ledger.count(&id), 1);
         }
         let changed = r#"{"id": "notices", "labels": {"app": "notices"},
@@ -24,9 +27,9 @@
         mesh.roll_out(changed).await;
         for i in mesh.all() {
             let gone = caller(&mesh, i).call("GET", "/notices", "gone", b"").await;
-            assert_eq!(gone.got, Got::Refused(404));
+            assert_eq!(gone.outcome, CallOutcome::Refused(404));
             let moved = caller(&mesh, i).call("GET", "/moved", "moved", b"").await;
-            assert!(is_answer(&moved.got), "{moved:?}");
+            assert!(is_answer(&moved.outcome), "{moved:?}");
         }
     });
 }
@@ -42,11 +45,11 @@
                     let id = format!("own-{n}");
                     let body = format!("body of {n}").into_bytes();
                     let call = caller.call("POST", "/echo", &id, &body).await;
-                    match call.got {
-                        Got::Answer { request, body: got, .. } => {
+                    match call.outcome {
+                        CallOutcome::Answer { request, body: got, .. } => {
                             assert_eq!((request, got.to_vec()), (id, body));
                         }
-                        Got::NotRun { .. } => {}
+                        CallOutcome::NotRun { .. } => {}
                         other => panic!("{id}: {other:?}"),
                     }
                 })
@@ -55,7 +58,7 @@
         for task in tasks {
             task.await;
         }
-        assert_eq!(mesh.ledger.doubled(), 0);
+        assert_eq!(mesh.ledger.duplicates(), 0);
     });
 }
 
@@ -67,7 +70,9 @@
     // only then goes.
     run(async {
         let mut mesh = Mesh::serving(spec(&["a"], 3)).await;
-        mesh.upstreams.iter().for_each(|u| u.change(|b| b.work = Duration::from_millis(400)));
+        mesh.upstreams
+            .iter()
+            .for_each(|u| u.change(|b| b.service_time = Duration::from_millis(400)));
         let tasks: Vec<_> = (0..12)
             .map(|n| {
                 let caller = caller(&mesh, n % 3);
@@ -82,11 +87,11 @@
         assert_eq!(mesh.fleet.stop(0).await, Some(0));
         for task in tasks {
             let call = task.await;
-            assert!(is_answer(&call.got), "{call:?}");
+            assert!(is_answer(&call.outcome), "{call:?}");
         }
-        assert_eq!(mesh.ledger.doubled(), 0);
+        assert_eq!(mesh.ledger.duplicates(), 0);
         let after = caller(&mesh, 1).call("GET", "/notices", "after", b"").await;
-        assert!(is_answer(&after.got), "{after:?}");
+        assert!(is_answer(&after.outcome), "{after:?}");
     });
 }
 
--- a/tests/restored.rs
+++ b/tests/restored.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use cicadashift_testkit::hosted::fleet::HostedFleet;
-use cicadashift_testkit::hosted::store::{Copy, Down};
+use cicadashift_testkit::hosted::store::{Outage, StoreCopy};
 use common::run;
 use serde_json::{Value, json};
 use std::path::Path;
@@ -26,11 +26,11 @@
 }
 
 /// Makes the store unavailable for a moment and restores it from a copy.
-async fn restore(fleet: &HostedFleet, copy: Copy) {
-    fleet.store.fault(|faults| faults.down = Some(Down::Busy));
+async fn restore(fleet: &HostedFleet, copy: StoreCopy) {
+    fleet.store.change_faults(|faults| faults.down = Some(Outage::Busy));
     smol::Timer::after(OUTAGE).await;
     fleet.store.restore(copy);
-    fleet.store.fault(|faults| faults.down = None);
+    fleet.store.change_faults(|faults| faults.down = None);
 }
 
 #[test]
@@ -45,14 +45,14 @@
         }
         fleet.put_config(5, &["/notices/", "/five/"]);
         wait_until_in_force(&fleet, "/five/").await;
-        fleet.store.fault(|faults| faults.down = Some(Down::Busy));
+        fleet.store.change_faults(|faults| faults.down = Some(Outage::Busy));
         smol::Timer::after(OUTAGE).await;
         fleet.store.restore(copy);
         fleet.put_config(6, &["/notices/", "/six/"]);
         for n in 0..80 {
             fleet.store.put("other/after", format!("{n}").as_bytes());
         }
-        fleet.store.fault(|faults| faults.down = None);
+        fleet.store.change_faults(|faults| faults.down = None);
         wait_until_in_force(&fleet, "/six/").await;
         fleet.put_config(7, &["/notices/", "/seven/"]);
         wait_until_in_force(&fleet, "/seven/").await;
@@ -85,7 +85,7 @@
 /// Waits until all daemons serve a path, which must not take longer than [`MAX_DELAY`].
 async fn wait_until_in_force(fleet: &HostedFleet, path: &str) {
     let accepted = Instant::now();
-    for i in 0..fleet.nodes.len() {
+    for i in 0..fleet.daemons.len() {
         let served = async |fleet: &HostedFleet| fleet.status(i, path, "probe").await;
         assert!(fleet.wait(async |fleet| served(fleet).await == Some(200)).await, "{path} at {i}");
         assert!(accepted.elapsed() < MAX_DELAY, "{path} at {i}: {}", fleet.log(i));
@@ -134,10 +134,10 @@
 
 /// Sets a new version on half of the instances, makes a copy of the store and orders the
 /// version; returns the copy.
-async fn order_new_version(fleet: &HostedFleet, duration_s: u64) -> Copy {
+async fn order_new_version(fleet: &HostedFleet, duration_s: u64) -> StoreCopy {
     for i in [1, 3] {
-        fleet.nodes[i].instance.set_version("v2");
-        assert!(fleet.nodes[i].instance.beat().await);
+        fleet.daemons[i].instance.set_version("v2");
+        assert!(fleet.daemons[i].instance.send_heartbeat().await);
     }
     let copy = fleet.store.copy();
     let order = json!({"Service": "notice", "TargetVersion": "v2", "DurationS": duration_s});
@@ -161,7 +161,8 @@
         // Without calls nothing is proven, and the time of the order runs out.
         let ended = async |fleet: &HostedFleet| state(fleet).as_deref() == Some("rolled_back");
         assert!(fleet.wait(ended).await);
-        let before: usize = [1, 3].iter().map(|i| fleet.nodes[*i].instance.seen().len()).sum();
+        let before: usize =
+            [1, 3].iter().map(|i| fleet.daemons[*i].instance.caller_headers().len()).sum();
         restore(&fleet, copy).await;
         assert_eq!(state(&fleet), None);
         for n in 0..400 {
@@ -170,7 +171,8 @@
             smol::Timer::after(Duration::from_millis(5)).await;
         }
         assert!(fleet.wait(ended).await, "{}", fleet.log(0));
-        let after: usize = [1, 3].iter().map(|i| fleet.nodes[*i].instance.seen().len()).sum();
+        let after: usize =
+            [1, 3].iter().map(|i| fleet.daemons[*i].instance.caller_headers().len()).sum();
         assert_eq!(after, before, "the version that was rolled back got calls");
     });
 }
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -5,8 +5,8 @@
 use cicadashift_http::exec;
 use cicadashift_http::hyper::Method;
 use cicadashift_testkit::hosted::fleet::HostedFleet;
-use cicadashift_testkit::hosted::instance::Manner;
-use cicadashift_testkit::hosted::store::Down;
+use cicadashift_testkit::hosted::instance::AnswerMode;
+use cicadashift_testkit::hosted::store::Outage;
 use common::run;
 use serde_json::{Value, json};
 use std::path::Path;
@@ -32,8 +32,8 @@
 async fn start_two_versions(count: usize) -> HostedFleet {
     let fleet = HostedFleet::serving(Path::new(env!("CARGO_BIN_EXE_cicadashift")), count).await;
     for i in (0..count).filter(|i| is_new(*i)) {
-        fleet.nodes[i].instance.set_version("v2");
-        assert!(fleet.nodes[i].instance.beat().await);
+        fleet.daemons[i].instance.set_version("v2");
+        assert!(fleet.daemons[i].instance.send_heartbeat().await);
     }
     fleet
 }
@@ -54,8 +54,8 @@
 
 /// Returns how many requests have run so far at the instances of the new or old version.
 fn runs(fleet: &HostedFleet, new: bool) -> usize {
-    let nodes = fleet.nodes.iter().enumerate().filter(|(i, _)| is_new(*i) == new);
-    nodes.map(|(_, node)| node.instance.seen().len()).sum()
+    let nodes = fleet.daemons.iter().enumerate().filter(|(i, _)| is_new(*i) == new);
+    nodes.map(|(_, node)| node.instance.caller_headers().len()).sum()
 }
 
 /// Callers that send requests until [`Load::end`], which returns the statuses of all answers.
@@ -69,7 +69,7 @@
         let stop = Arc::new(AtomicBool::new(false));
         let callers = (0..callers)
             .map(|c| {
-                let (caller, stop) = (fleet.caller(c % fleet.nodes.len()), stop.clone());
+                let (caller, stop) = (fleet.caller(c % fleet.daemons.len()), stop.clone());
                 exec::spawn(async move {
                     let mut statuses = Vec::new();
                     while !stop.load(Ordering::Relaxed) {
@@ -117,7 +117,7 @@
 
 /// Returns the log lines of all daemons that concern rollouts.
 fn logs(fleet: &HostedFleet) -> String {
-    let lines = (0..fleet.nodes.len()).map(|i| {
+    let lines = (0..fleet.daemons.len()).map(|i| {
         let log = fleet.log(i);
         let lines: Vec<&str> = log.lines().filter(|line| line.contains("rollout")).collect();
         format!("daemon {i}\n{}\n", lines.join("\n"))
@@ -159,7 +159,7 @@
         wait_until_running(&fleet).await;
         smol::Timer::after(Duration::from_secs(1)).await;
         for i in (0..6).filter(|i| is_new(*i)) {
-            fleet.nodes[i].instance.set_manner(Manner::Failing);
+            fleet.daemons[i].instance.set_answer_mode(AnswerMode::Failing);
         }
         let load = Load::start(&fleet, 12);
         let back = wait_for_state(&fleet, "rolled_back", MAX_ROLLBACK_TIME).await;
@@ -254,15 +254,15 @@
         order(&fleet, "v2");
         wait_until_running(&fleet).await;
         smol::Timer::after(Duration::from_millis(1500)).await;
-        fleet.store.fault(|faults| faults.down = Some(Down::Busy));
+        fleet.store.change_faults(|faults| faults.down = Some(Outage::Busy));
         let (new, old) = (runs(&fleet, true), runs(&fleet, false));
         for i in (0..6).filter(|i| is_new(*i)) {
-            fleet.nodes[i].instance.set_manner(Manner::Failing);
+            fleet.daemons[i].instance.set_answer_mode(AnswerMode::Failing);
         }
         smol::Timer::after(Duration::from_secs(3)).await;
         let (new, old) = (runs(&fleet, true) - new, runs(&fleet, false) - old);
         assert!(new as f64 <= 0.1 * (new + old) as f64 + 50.0, "{new} of {}", new + old);
-        fleet.store.fault(|faults| faults.down = None);
+        fleet.store.change_faults(|faults| faults.down = None);
         let back = wait_for_state(&fleet, "rolled_back", Duration::from_secs(3)).await;
         assert!(back.is_some(), "{:?} {}", state(&fleet), logs(&fleet));
         let statuses = load.end().await;
@@ -280,7 +280,7 @@
         let load = Load::start(&fleet, 12);
         order(&fleet, "v2");
         wait_until_running(&fleet).await;
-        fleet.store.revoke(ORDER);
+        fleet.store.delete_prefix(ORDER);
         let back = wait_for_state(&fleet, "rolled_back", Duration::from_secs(3)).await;
         assert!(back.is_some(), "{:?} {}", state(&fleet), logs(&fleet));
         smol::Timer::after(Duration::from_secs(1)).await;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -10,8 +10,8 @@
 use cicadashift_http::exec;
 use cicadashift_http::hyper::Method;
 use cicadashift_testkit::hosted::fleet::HostedFleet;
-use cicadashift_testkit::hosted::instance::Manner;
-use cicadashift_testkit::hosted::store::{Copy, Down};
+use cicadashift_testkit::hosted::instance::AnswerMode;
+use cicadashift_testkit::hosted::store::{Outage, StoreCopy};
 use common::run;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -78,7 +78,7 @@
 
 impl Limits {
     fn name(&mut self, fleet: &HostedFleet, i: usize, text: Option<&str>) {
-        fleet.nodes[i].instance.name_limit(text);
+        fleet.daemons[i].instance.name_limit(text);
         let now = Instant::now();
         let open = self.spans.iter_mut().filter(|span| span.i == i && span.until.is_none());
         open.for_each(|span| span.until = Some(now));
@@ -90,7 +90,7 @@
 /// Whoever changes the configuration and keeps the store.
 struct Operator {
     version: u64,
-    copy: Option<Copy>,
+    copy: Option<StoreCopy>,
 }
 
 impl Operator {
@@ -101,10 +101,10 @@
     /// Lets the store go away and come back from its last copy, if there is one.
     async fn go_back(&mut self, fleet: &HostedFleet) -> String {
         let Some(copy) = self.copy.take() else { return "no copy to go back to".to_string() };
-        fleet.store.fault(|faults| faults.down = Some(Down::Busy));
+        fleet.store.change_faults(|faults| faults.down = Some(Outage::Busy));
         smol::Timer::after(AWAY).await;
         fleet.store.restore(copy);
-        fleet.store.fault(|faults| faults.down = None);
+        fleet.store.change_faults(|faults| faults.down = None);
         "store came back from a copy".to_string()
     }
 }
@@ -282,8 +282,8 @@
 /// Checks that daemons to which nothing was done stopped sending on what ends instances.
 fn check_guilty(seed: u64, fleet: &HostedFleet, disturbed: &Disturbed, story: &[String]) {
     let mut runs = Vec::new();
-    for (exit, node) in fleet.nodes.iter().enumerate() {
-        runs.extend(node.instance.fatal().into_iter().map(|run| (exit, run)));
+    for (exit, node) in fleet.daemons.iter().enumerate() {
+        runs.extend(node.instance.fatal_runs().into_iter().map(|run| (exit, run)));
     }
     runs.sort_by_key(|(_, run)| run.at);
     eprintln!("seed {seed}: {} runs of what ends instances", runs.len());
@@ -311,7 +311,7 @@
     let mut checked = 0;
     for span in &limits.spans {
         let until = span.until.unwrap_or_else(Instant::now);
-        let arrivals = fleet.nodes[span.i].instance.arrivals();
+        let arrivals = fleet.daemons[span.i].instance.arrivals();
         let in_span = |at: Instant| at > span.from && at < until;
         let own: Vec<_> = arrivals.iter().filter(|arrival| in_span(arrival.at)).collect();
         let names: BTreeSet<_> = own.iter().map(|arrival| &arrival.instance).collect();
@@ -385,37 +385,42 @@
             format!("{i} told to reload")
         }
         6 => {
-            let down = [Down::Silent, Down::Busy, Down::TooMany][random.below(3) as usize];
-            fleet.store.fault(|faults| faults.down = Some(down));
+            let down = [Outage::Silent, Outage::Busy, Outage::TooMany][random.below(3) as usize];
+            fleet.store.change_faults(|faults| faults.down = Some(down));
             format!("store {down:?}")
         }
         7 => {
-            fleet.store.fault(|faults| faults.down = None);
+            fleet.store.change_faults(|faults| faults.down = None);
             "store back".to_string()
         }
         8 => {
-            fleet.store.lapse_leases();
+            fleet.store.expire_all_leases();
             fleet.store.drop_history();
             "leases and history gone".to_string()
         }
         9 => {
             let cut = random.below(2) == 0;
-            fleet.nodes[i].store_link.cut(cut);
+            fleet.daemons[i].store_link.cut(cut);
             format!("{i} cut from the store: {cut}")
         }
         10 => {
-            let manners = [Manner::Silent, Manner::WrongId, Manner::Failing, Manner::Shedding];
+            let manners = [
+                AnswerMode::Silent,
+                AnswerMode::WrongId,
+                AnswerMode::Failing,
+                AnswerMode::Shedding,
+            ];
             let manner = manners[random.below(4) as usize];
-            fleet.nodes[i].instance.set_manner(manner);
+            fleet.daemons[i].instance.set_answer_mode(manner);
             format!("instance {i} {manner:?}")
         }
         11 => {
-            fleet.nodes[i].instance.set_manner(Manner::Good);
-            fleet.nodes[i].instance.set_work(Duration::from_millis(random.below(80)));
+            fleet.daemons[i].instance.set_answer_mode(AnswerMode::Normal);
+            fleet.daemons[i].instance.set_service_time(Duration::from_millis(random.below(80)));
             format!("instance {i} good")
         }
         12 => {
-            fleet.nodes[i].instance.end();
+            fleet.daemons[i].instance.crash();
             format!("instance {i} ends")
         }
         13 => {
@@ -433,11 +438,11 @@
             format!("instance {i} takes all again")
         }
         18 => {
-            fleet.nodes[i].instance.name_leaving();
+            fleet.daemons[i].instance.signal_leaving();
             limits.name(fleet, i, None);
             smol::Timer::after(AWAY).await;
             let born = FIRST_START_MS + operator.version * 1000 + random.below(1000);
-            fleet.nodes[i].instance.start_again(born).await;
+            fleet.daemons[i].instance.restart_at(born).await;
             format!("instance {i} leaves and starts again")
         }
         _ => {
@@ -450,12 +455,12 @@
 
 /// Ends every fault.
 async fn mend(fleet: &mut HostedFleet) {
-    fleet.store.fault(|faults| faults.down = None);
+    fleet.store.change_faults(|faults| faults.down = None);
     for i in 0..DAEMONS {
         fleet.signal(i, "-CONT");
-        fleet.nodes[i].store_link.cut(false);
-        fleet.nodes[i].instance.set_manner(Manner::Good);
-        fleet.nodes[i].instance.name_limit(None);
+        fleet.daemons[i].store_link.cut(false);
+        fleet.daemons[i].instance.set_answer_mode(AnswerMode::Normal);
+        fleet.daemons[i].instance.name_limit(None);
         if fleet.exit_code(i).is_some() {
             fleet.restart(i);
         }
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -30,7 +30,10 @@
             fleet.log(0).contains("version 2 is in force") && fleet.log(0).contains("reload (")
         };
         assert!(fleet.wait(is_applied).await, "{}", fleet.log(0));
-        fleet.nodes.iter().for_each(|node| node.instance.set_work(Duration::from_millis(2600)));
+        fleet
+            .daemons
+            .iter()
+            .for_each(|node| node.instance.set_service_time(Duration::from_millis(2600)));
         fleet.signal(0, "-TERM");
         smol::Timer::after(Duration::from_millis(400)).await;
         let caller = fleet.caller(0);
@@ -55,7 +58,9 @@
         fleet.change_settings(0, "link_mbps", json!(0.8));
         fleet.restart(0);
         let has_rejoined = async |fleet: &HostedFleet| {
-            fleet.is_ready(0).await && fleet.knows(1, 2).await && fleet.knows(0, 2).await
+            fleet.is_ready(0).await
+                && fleet.sees_instances(1, 2).await
+                && fleet.sees_instances(0, 2).await
         };
         assert!(fleet.wait(has_rejoined).await, "{}", fleet.log(0));
         let mut new_config = config(2, &["/notices/"]);
@@ -66,7 +71,7 @@
             (0..2).all(|i| fleet.log(i).contains("version 2 is in force"))
         };
         assert!(fleet.wait(is_applied).await, "{}", fleet.log(1));
-        assert!(fleet.nodes[1].instance.drain().await);
+        assert!(fleet.daemons[1].instance.drain().await);
         let caller = fleet.caller(1);
         let request =
             exec::spawn(async move { caller.call(Method::GET, "/notices/large", "large-1").await });
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -29,7 +29,7 @@
 fn framing_and_hostile_shapes() {
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
-        let to = mesh.fleet.nodes[0].callers;
+        let to = mesh.fleet.daemons[0].callers;
         let cases: [(&str, &'static [u8]); 11] = [
             ("sized", b"POST /echo HTTP/1.1\r\nhost: m\r\nconnection: close\r\ncontent-length: 3\r\n\r\nabc"),
             ("chunked", b"POST /echo HTTP/1.1\r\nhost: m\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"),
@@ -62,7 +62,7 @@
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
         let got = raw(
-            mesh.fleet.nodes[0].callers,
+            mesh.fleet.daemons[0].callers,
             b"GET /notices HTTP/1.1\r\nhost: m\r\nconnection: close, x-secret\r\nx-secret: 1\r\ncicadashift-token: x\r\n\r\n",
         )
         .await;
@@ -77,7 +77,7 @@
 fn a_head_that_is_too_large_is_refused() {
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
-        let to = mesh.fleet.nodes[0].callers;
+        let to = mesh.fleet.daemons[0].callers;
         let got = smol::unblock(move || {
             let mut stream = TcpStream::connect(to).expect("the port is open");
             let filler = "x".repeat(200_000);
@@ -91,7 +91,7 @@
         .await;
         assert!(got.is_empty() || got.starts_with("HTTP/1.1 431"), "{got}");
         let after = common::caller(&mesh, 0).call("GET", "/notices", "after", b"").await;
-        assert!(common::is_answer(&after.got), "the daemon lives: {after:?}");
+        assert!(common::is_answer(&after.outcome), "the daemon lives: {after:?}");
     });
 }
 
@@ -104,7 +104,7 @@
         let mut spec = spec(&["a"], 1);
         spec.head_ms = 700;
         let mesh = Mesh::serving(spec).await;
-        let to = mesh.fleet.nodes[0].callers;
+        let to = mesh.fleet.daemons[0].callers;
         let slow = raw(to, b"GET /notices HTTP/1.1\r\nhost: m\r\n");
         let caller = common::caller(&mesh, 0);
         let other = common::call_until(&caller, "other", common::is_answer);
@@ -119,13 +119,15 @@
         let mesh = Mesh::serving(spec(&["a", "b"], 1)).await;
         let body = vec![b'y'; 3 << 20];
         let call = common::caller(&mesh, 0).call("POST", "/echo", "big", &body).await;
-        match call.got {
-            cicadashift_testkit::caller::Got::Answer { body: got, .. } => assert!(got == body),
+        match call.outcome {
+            cicadashift_testkit::caller::CallOutcome::Answer { body: got, .. } => {
+                assert!(got == body)
+            }
             other => panic!("{other:?}"),
         }
         let call = common::caller(&mesh, 1).call("GET", "/notices?size=5000000", "wide", b"").await;
-        match call.got {
-            cicadashift_testkit::caller::Got::Answer { body: got, .. } => {
+        match call.outcome {
+            cicadashift_testkit::caller::CallOutcome::Answer { body: got, .. } => {
                 assert_eq!(got.len(), 5_000_000);
             }
             other => panic!("{other:?}"),
@@ -137,7 +139,7 @@
 fn strangers_on_the_mesh_port_are_refused() {
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
-        let to = mesh.fleet.nodes[0].mesh;
+        let to = mesh.fleet.daemons[0].mesh;
         let cases: [&'static [u8]; 3] = [
             b"POST /mesh HTTP/1.1\r\nhost: m\r\nconnection: close\r\ncontent-length: 1\r\n\r\n\xc0",
             b"POST /mesh HTTP/1.1\r\nhost: m\r\nconnection: close\r\ncicadashift-token: guess\r\ncontent-length: 1\r\n\r\n\xc0",
@@ -150,7 +152,7 @@
         let udp = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
         udp.send_to(&[0xff; 600], to).expect("it is sent");
         let after = common::caller(&mesh, 0).call("GET", "/notices", "after", b"").await;
-        assert!(common::is_answer(&after.got), "the daemon lives: {after:?}");
+        assert!(common::is_answer(&after.outcome), "the daemon lives: {after:?}");
     });
 }
 
@@ -158,8 +160,8 @@
 fn a_caller_that_leaves_cancels_its_call() {
     run(async {
         let mesh = Mesh::serving(spec(&["a"], 1)).await;
-        mesh.upstreams[0].change(|b| b.work = Duration::from_secs(20));
-        let to = mesh.fleet.nodes[0].callers;
+        mesh.upstreams[0].change(|b| b.service_time = Duration::from_secs(20));
+        let to = mesh.fleet.daemons[0].callers;
         let stream = smol::unblock(move || {
             let mut stream = TcpStream::connect(to).expect("the port is open");
             stream
@@ -174,7 +176,7 @@
             smol::Timer::after(Duration::from_millis(5)).await;
         }
         drop(stream);
-        let until = std::time::Instant::now() + cicadashift_testkit::mesh::PATIENCE;
+        let until = std::time::Instant::now() + cicadashift_testkit::mesh::WAIT_TIMEOUT;
         while mesh.upstreams[0].cancelled() == 0 {
             assert!(std::time::Instant::now() < until, "the upstream is told");
             smol::Timer::after(Duration::from_millis(5)).await;
