--- a/crates/testkit/src/hosted/fleet.rs
+++ b/crates/testkit/src/hosted/fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons with the settings that the users' platform would render.
+//! Daemons with the settings that the users' platform would generate.
 
 use crate::hosted::instance::Instance;
 use crate::hosted::store::{CONFIG_KEY, Store};
@@ -17,38 +17,38 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// Longest wait for something that is to come true.
+/// Maximum time to wait for a condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(20);
-const ASK_TIME: Duration = Duration::from_secs(4);
-const MOST: usize = 16 << 20;
-/// The one host name that configurations here route.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// The only virtual host in the configurations of this module.
 const HOST: &str = "notices.example";
 
-/// One daemon with its instance.
+/// One daemon process and its instance.
 pub struct Daemon {
-    /// Port for callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Port for the instance and operators of the host.
+    /// Listen address for the instance and for operators on the host.
     pub control: SocketAddr,
-    /// Port that tells readiness.
+    /// Listen address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// The way from it to the store.
+    /// The link from the daemon to the store.
     pub store_link: Link,
-    /// The instance beside it.
+    /// The instance on the same host.
     pub instance: Arc<Instance>,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
 }
 
-/// Daemons of one mesh; every process ends with it.
+/// The daemons of one mesh. Dropping it kills every process.
 pub struct HostedFleet {
-    /// Its daemons; the first two in failure domain `a`, the others in `b`.
+    /// The daemons: the first two are in failure domain `a`, the others in `b`.
     pub daemons: Vec<Daemon>,
-    /// The store.
+    /// The metadata store.
     pub store: Store,
-    /// What the instances ran.
+    /// Executions on all instances.
     pub ledger: Ledger,
     program: PathBuf,
     dir: PathBuf,
@@ -56,21 +56,22 @@
 }
 
 impl HostedFleet {
-    /// Starts daemons, each beside an instance of the service `notice`, and a
-    /// first configuration, and waits until all are ready and know all others.
+    /// Starts daemons, each with an instance of the service `notice`, writes a first
+    /// configuration, and waits until each daemon is ready and lists all instances.
     ///
     /// # Panics
     ///
-    /// Panics where nothing can be started or nobody becomes ready.
+    /// Panics if a daemon cannot be started, does not become ready or does not list all
+    /// instances in time.
     pub async fn serving(program: &Path, count: usize) -> HostedFleet {
         let fleet = HostedFleet::start(program, count);
         fleet.put_config(1, &["/notices/"]);
         for i in 0..count {
             let ready = fleet.wait(async |fleet: &HostedFleet| fleet.is_ready(i).await).await;
             assert!(ready, "daemon {i} becomes ready: {}", fleet.log(i));
-            let known =
+            let is_listed =
                 fleet.wait(async |fleet: &HostedFleet| fleet.sees_instances(i, count).await).await;
-            assert!(known, "daemon {i} knows all instances: {}", fleet.log(i));
+            assert!(is_listed, "daemon {i} lists all instances: {}", fleet.log(i));
         }
         fleet
     }
@@ -79,16 +80,17 @@
     ///
     /// # Panics
     ///
-    /// Panics where nothing can be started.
+    /// Panics if a daemon cannot be started.
     pub fn start(program: &Path, count: usize) -> HostedFleet {
-        let unique = format!("cicadashift-hosted-{}-{:08x}", std::process::id(), fastrand::u32(..));
-        let dir = std::env::temp_dir().join(unique);
-        std::fs::create_dir_all(&dir).expect("the temporary folder can be written");
+        let dir_name =
+            format!("cicadashift-hosted-{}-{:08x}", std::process::id(), fastrand::u32(..));
+        let dir = std::env::temp_dir().join(dir_name);
+        std::fs::create_dir_all(&dir).expect("the temporary directory can be created");
         let store = Store::start();
         let ledger = Ledger::default();
-        let nodes = (0..count).map(|i| Daemon::plan(i, &dir, &store, &ledger)).collect();
+        let daemons = (0..count).map(|i| Daemon::prepare(i, &dir, &store, &ledger)).collect();
         let mut fleet = HostedFleet {
-            daemons: nodes,
+            daemons,
             store,
             ledger,
             program: program.to_path_buf(),
@@ -101,44 +103,49 @@
         fleet
     }
 
-    /// Writes a configuration with these prefixes as the operator does.
+    /// Writes a configuration that routes these path prefixes, as an operator does.
     pub fn put_config(&self, version: u64, prefixes: &[&str]) {
         self.store.put(CONFIG_KEY, config(version, prefixes).to_string().as_bytes());
     }
 
-    /// Starts a daemon that does not run.
+    /// Starts a daemon that is not running.
     ///
     /// # Panics
     ///
-    /// Panics where the program cannot be started.
+    /// Panics if the program cannot be started.
     pub fn restart(&mut self, i: usize) {
-        let node = &mut self.daemons[i];
-        let log = File::options().create(true).append(true).open(&node.log).expect("a log file");
-        let errors = log.try_clone().expect("a second handle");
-        let _no_port_is_tried = ports::lock_process_starts();
+        let daemon = &mut self.daemons[i];
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&daemon.log)
+            .expect("the log file can be opened");
+        let errors = log.try_clone().expect("the file handle can be duplicated");
+        let _process_start_lock = ports::lock_process_starts();
         let child = Command::new(&self.program)
             .args(["daemon", "--settings"])
-            .arg(&node.settings)
+            .arg(&daemon.settings)
             .stdin(Stdio::null())
             .stdout(log)
             .stderr(errors)
             .spawn();
-        node.child = Some(child.expect("the program can be started"));
+        daemon.child = Some(child.expect("the program can be started"));
     }
 
-    /// Ends a daemon without a word.
+    /// Kills a daemon with SIGKILL.
     pub fn kill(&mut self, i: usize) {
         if let Some(mut child) = self.daemons[i].child.take() {
-            let _gone = child.kill();
-            let _gone = child.wait();
+            let _best_effort = child.kill();
+            let _best_effort = child.wait();
         }
     }
 
     /// Sends a signal, such as `-TERM`, to a daemon.
     pub fn signal(&self, i: usize, signal: &str) {
         if let Some(child) = &self.daemons[i].child {
-            let _no_port_is_tried = ports::lock_process_starts();
-            let _sent = Command::new("kill").arg(signal).arg(child.id().to_string()).status();
+            let _process_start_lock = ports::lock_process_starts();
+            let _best_effort =
+                Command::new("kill").arg(signal).arg(child.id().to_string()).status();
         }
     }
 
@@ -151,34 +158,35 @@
     ///
     /// # Panics
     ///
-    /// Panics where the file cannot be written.
+    /// Panics if the file cannot be read or written.
     pub fn change_settings(&self, i: usize, field: &str, value: Value) {
         let file = &self.daemons[i].settings;
-        let buf = std::fs::read(file).expect("the settings are there");
-        let mut settings: Value = serde_json::from_slice(&buf).expect("they are JSON");
+        let buf = std::fs::read(file).expect("the settings file can be read");
+        let mut settings: Value = serde_json::from_slice(&buf).expect("the settings are JSON");
         settings[field] = value;
         std::fs::write(file, settings.to_string()).expect("the settings can be written");
     }
 
-    /// Returns what a daemon has logged.
+    /// Returns the log of a daemon.
     pub fn log(&self, i: usize) -> String {
         std::fs::read_to_string(&self.daemons[i].log).unwrap_or_default()
     }
 
-    /// Returns whether a daemon says that it takes work.
+    /// Returns whether a daemon reports that it is ready.
     pub async fn is_ready(&self, i: usize) -> bool {
         let req = Request::get("/cicadashift/ready").header("host", "ready").body(body::empty());
         let Ok(req) = req else { return false };
-        let answer = self.pool.exchange(self.daemons[i].ready, req, MOST, ASK_TIME).await;
+        let answer =
+            self.pool.exchange(self.daemons[i].ready, req, MAX_ANSWER_BYTES, REQUEST_TIMEOUT).await;
         answer.is_ok_and(|res| res.status().is_success())
     }
 
-    /// Returns a caller with connections of its own to a daemon.
+    /// Returns a caller that has its own connections to a daemon.
     pub fn caller(&self, i: usize) -> HostedCaller {
         HostedCaller { to: self.daemons[i].callers, pool: Pool::new(2) }
     }
 
-    /// Sends a request to a daemon; `None` where the connection broke.
+    /// Sends a request to a daemon. Returns `None` if no complete answer arrives.
     pub async fn call(
         &self,
         i: usize,
@@ -189,7 +197,8 @@
         call(&self.pool, self.daemons[i].callers, method, path, id, &[]).await
     }
 
-    /// Sends a GET with further headers to a daemon; `None` where the connection broke.
+    /// Sends a GET with additional headers to a daemon. Returns `None` if no complete answer
+    /// arrives.
     pub async fn call_with(
         &self,
         i: usize,
@@ -200,18 +209,20 @@
         call(&self.pool, self.daemons[i].callers, Method::GET, path, id, headers).await
     }
 
-    /// Returns the status of a GET.
+    /// Sends a GET to a daemon and returns the status code of the answer.
     pub async fn status(&self, i: usize, path: &str, id: &str) -> Option<u16> {
         self.call(i, Method::GET, path, id).await.map(|res| res.status().as_u16())
     }
 
-    /// Sends several GETs to a daemon at once; returns their statuses.
+    /// Sends several GETs to a daemon concurrently and returns the status codes in the order
+    /// of `ids`.
     pub async fn statuses(&self, i: usize, path: &str, ids: &[String]) -> Vec<Option<u16>> {
         let answers = self.answers(i, path, ids).await;
         answers.into_iter().map(|res| res.map(|res| res.status().as_u16())).collect()
     }
 
-    /// Sends several GETs to a daemon at once; returns their answers.
+    /// Sends several GETs to a daemon concurrently and returns the answers in the order of
+    /// `ids`.
     pub async fn answers(
         &self,
         i: usize,
@@ -224,9 +235,9 @@
         std::future::poll_fn(|cx| {
             for (call, answer) in calls.iter_mut().zip(&mut answers) {
                 if let Some(pending) = call
-                    && let Poll::Ready(got) = pending.as_mut().poll(cx)
+                    && let Poll::Ready(res) = pending.as_mut().poll(cx)
                 {
-                    *answer = got;
+                    *answer = res;
                     *call = None;
                 }
             }
@@ -236,19 +247,19 @@
         answers
     }
 
-    /// Waits until something is true.
+    /// Waits until a condition holds. Returns `false` after [`WAIT_TIMEOUT`].
     pub async fn wait(&self, holds: impl AsyncFn(&HostedFleet) -> bool) -> bool {
         let until = Instant::now() + WAIT_TIMEOUT;
         while !holds(self).await {
             if Instant::now() >= until {
                 return false;
             }
-            smol::Timer::after(POLL).await;
+            smol::Timer::after(POLL_INTERVAL).await;
         }
         true
     }
 
-    /// Returns which daemons follow the store.
+    /// Returns the indices of the daemons that follow the store.
     pub async fn followers(&self) -> Vec<usize> {
         let mut out = Vec::new();
         for i in 0..self.daemons.len() {
@@ -259,29 +270,32 @@
         out
     }
 
-    /// Returns whether a daemon knows this many instances.
+    /// Returns whether a daemon lists exactly this many instances of the service `notice`.
     pub async fn sees_instances(&self, i: usize, count: usize) -> bool {
         self.own_status(i).await["services"]["notice"] == json!(count)
     }
 
-    /// Returns what a daemon says of itself; nothing where it does not answer.
+    /// Returns the status document of a daemon, or `Value::Null` if the daemon does not answer.
     pub async fn own_status(&self, i: usize) -> Value {
         let req = Request::get("/v1/status/self").header("host", "daemon").body(body::empty());
         let Ok(req) = req else { return Value::Null };
-        let answer = self.pool.exchange(self.daemons[i].control, req, MOST, ASK_TIME).await;
+        let answer = self
+            .pool
+            .exchange(self.daemons[i].control, req, MAX_ANSWER_BYTES, REQUEST_TIMEOUT)
+            .await;
         let Ok(res) = answer else { return Value::Null };
         serde_json::from_slice(res.body()).unwrap_or(Value::Null)
     }
 }
 
-/// A caller that stays with one daemon.
+/// A caller with its own connections to one daemon.
 pub struct HostedCaller {
     to: SocketAddr,
     pool: Pool,
 }
 
 impl HostedCaller {
-    /// Sends a request; `None` where the connection broke.
+    /// Sends a request. Returns `None` if no complete answer arrives.
     pub async fn call(&self, method: Method, path: &str, id: &str) -> Option<Response<String>> {
         call(&self.pool, self.to, method, path, id, &[]).await
     }
@@ -306,7 +320,7 @@
         req = req.header(*name, *value);
     }
     let req = req.body(body::full("body")).ok()?;
-    let res = pool.exchange(to, req, MOST, ASK_TIME).await.ok()?;
+    let res = pool.exchange(to, req, MAX_ANSWER_BYTES, REQUEST_TIMEOUT).await.ok()?;
     Some(res.map(|buf| String::from_utf8_lossy(&buf).into_owned()))
 }
 
@@ -321,7 +335,7 @@
 }
 
 impl Daemon {
-    fn plan(i: usize, dir: &Path, store: &Store, ledger: &Ledger) -> Daemon {
+    fn prepare(i: usize, dir: &Path, store: &Store, ledger: &Ledger) -> Daemon {
         let ip = ports::unique_ip();
         let [callers, control, ready, mesh] = ports::free_addrs(ip);
         let store_link = Link::start(store.addr, Duration::ZERO);
@@ -342,7 +356,7 @@
             "limits": {"leave_ms": 800, "finish_ms": 3000},
         });
         let file = dir.join(format!("host-{i}.json"));
-        std::fs::write(&file, settings.to_string()).expect("settings can be written");
+        std::fs::write(&file, settings.to_string()).expect("the settings can be written");
         Daemon {
             callers,
             control,
@@ -356,7 +370,7 @@
     }
 }
 
-/// Returns a configuration as the operator writes it.
+/// Returns a configuration in the format that operators write.
 pub fn config(version: u64, prefixes: &[&str]) -> Value {
     let paths: Vec<Value> = prefixes
         .iter()
--- a/crates/testkit/src/hosted/front.rs
+++ b/crates/testkit/src/hosted/front.rs
@@ -1,4 +1,5 @@
-//! What lets an instance end like a process: its port and every connection at once.
+//! A TCP relay in front of an instance, which simulates the end of its process by closing
+//! its port and all its connections at the same time.
 
 use cicadashift_http::exec;
 use smol::io::copy;
@@ -6,40 +7,40 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Listens for an instance, and passes bytes on to the server behind it.
-pub struct Front {
-    /// Where the instance serves.
+/// Accepts the connections of an instance and relays their bytes to its server.
+pub struct Relay {
+    /// The address at which the instance is reached.
     pub addr: SocketAddr,
     server: SocketAddr,
-    /// The task that listens and those of the connections; dropping one closes its sockets.
+    /// The accept task and one task for each connection. Dropping a task closes its sockets.
     tasks: Arc<Mutex<Vec<Task<()>>>>,
 }
 
-impl Front {
-    /// Listens on a free port for the server at an address.
+impl Relay {
+    /// Listens on a free port and relays to `server`.
     ///
     /// # Panics
     ///
     /// Panics if the system refuses a port.
-    pub fn start(server: SocketAddr) -> Front {
+    pub fn start(server: SocketAddr) -> Relay {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a free port");
         let addr = listener.get_ref().local_addr().expect("a bound socket has an address");
-        let front = Front { addr, server, tasks: Arc::default() };
-        front.listen(listener);
-        front
+        let relay = Relay { addr, server, tasks: Arc::default() };
+        relay.listen(listener);
+        relay
     }
 
-    /// Closes the port and every connection in one moment.
-    pub fn end(&self) {
+    /// Closes the port and all connections at the same time.
+    pub fn close(&self) {
         let tasks = std::mem::take(&mut *lock(&self.tasks));
         drop(tasks);
     }
 
-    /// Listens again at the same address.
+    /// Listens again on the same address.
     ///
     /// # Panics
     ///
-    /// Panics if another program took the port meanwhile.
+    /// Panics if another program has taken the port in the meantime.
     pub fn listen_again(&self) {
         let listener = Async::<TcpListener>::bind(self.addr).expect("the port is still free");
         self.listen(listener);
@@ -47,26 +48,26 @@
 
     fn listen(&self, listener: Async<TcpListener>) {
         let (server, tasks) = (self.server, Arc::downgrade(&self.tasks));
-        let listening = exec::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let connection = exec::spawn(pass_on(near, server));
+        let accept_task = exec::spawn(async move {
+            while let Ok((inbound, _)) = listener.accept().await {
+                let connection = exec::spawn(relay_connection(inbound, server));
                 match tasks.upgrade() {
                     Some(tasks) => lock(&tasks).push(connection),
                     None => return,
                 }
             }
         });
-        lock(&self.tasks).push(listening);
+        lock(&self.tasks).push(accept_task);
     }
 }
 
-async fn pass_on(near: Async<TcpStream>, server: SocketAddr) {
-    let Ok(far) = Async::<TcpStream>::connect(server).await else { return };
-    let _best_effort = (near.get_ref().set_nodelay(true), far.get_ref().set_nodelay(true));
-    // Whichever side closes first ends both.
-    let there = copy(&near, &far);
-    let back = copy(&far, &near);
-    let _closed = smol::future::or(there, back).await;
+async fn relay_connection(inbound: Async<TcpStream>, server: SocketAddr) {
+    let Ok(outbound) = Async::<TcpStream>::connect(server).await else { return };
+    let _best_effort = (inbound.get_ref().set_nodelay(true), outbound.get_ref().set_nodelay(true));
+    // The first side that closes ends both directions.
+    let forward = copy(&inbound, &outbound);
+    let backward = copy(&outbound, &inbound);
+    let _closed = smol::future::or(forward, backward).await;
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/testkit/src/hosted/instance.rs
+++ b/crates/testkit/src/hosted/instance.rs
@@ -1,9 +1,10 @@
-//! An instance on the users' platform: heartbeats, identity, and ways to fail.
+//! A simulated instance on the users' platform, with heartbeats, an instance id and
+//! injected faults.
 //!
-//! A request whose path has [`FATAL_PATH`] in it ends the instance while it runs, as a
-//! fault of its program would; it is back, as another one, after [`RESTART_DELAY`].
+//! A request whose path contains [`FATAL_PATH`] crashes the instance during the execution of
+//! the request. The instance restarts under another id after [`RESTART_DELAY`].
 
-use super::front::Front;
+use super::front::Relay;
 use crate::upstream::Ledger;
 use bytes::Bytes;
 use cicadashift_http::body::{self, Body, BodyError};
@@ -22,98 +23,98 @@
 use std::time::{Duration, Instant};
 
 /// Time between two heartbeats.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(200);
-const CONTROL_TIME: Duration = Duration::from_secs(2);
-const MOST: usize = 64 << 20;
-/// Size of the answers under paths that end in `/large`.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// Approximate size of the answers to requests whose path ends in `/large`.
 pub const LARGE_BYTES: usize = 240_000;
 
-/// Part of the paths of requests that end the instance which runs them.
+/// A request whose path contains this text crashes the instance that executes it.
 pub const FATAL_PATH: &str = "guilty";
-/// How long an instance is away after such a request.
+/// Time between a crash of an instance and its restart.
 pub const RESTART_DELAY: Duration = Duration::from_millis(400);
 
-/// A run of a request that ends instances.
+/// An execution of a request that crashes the instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FatalRun {
-    /// What was asked for.
+    /// Path of the request.
     pub path: String,
-    /// Under which id.
+    /// Request id.
     pub id: String,
-    /// When it reached the instance.
+    /// When the execution began on the instance.
     pub at: Instant,
 }
 
-/// Who sent a request, as the instance that ran it was told.
+/// The origin of an executed request, as its headers name it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestOrigin {
-    /// The request.
+    /// Request id.
     pub id: String,
-    /// The organisation; empty where none was named.
+    /// The organisation; empty if the request names none.
     pub organisation: String,
-    /// Whether it carried credentials of the caller.
+    /// Whether the request carried the caller's credentials.
     pub has_credentials: bool,
 }
 
-/// A request that reached an instance, whether or not it ran.
+/// A request that reached an instance, executed or not.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The request.
+    /// Request id.
     pub id: String,
-    /// The instance's name at that time.
+    /// Id of the instance at that time.
     pub instance: String,
-    /// When it came.
+    /// When the request arrived.
     pub at: Instant,
 }
 
 /// How an instance answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AnswerMode {
-    /// Whole and in order.
+    /// Complete and correct answers.
     #[default]
     Normal,
-    /// Runs the request and never answers.
+    /// Executes the request and never answers.
     Silent,
-    /// With another request's id.
+    /// Answers with the id of another request.
     WrongId,
-    /// That it failed.
+    /// Executes the request and answers 500.
     Failing,
-    /// That it did not run the request.
+    /// Answers 503 without executing the request, and says so in a header.
     Shedding,
-    /// Begins an answer and closes the connection, and goes on serving.
+    /// Closes the connection after the first bytes of the answer, and goes on serving.
     Truncating,
 }
 
 struct Shared {
     id: Mutex<String>,
-    manner: Mutex<AnswerMode>,
-    work: Mutex<Duration>,
+    answer_mode: Mutex<AnswerMode>,
+    service_time: Mutex<Duration>,
     slots: Mutex<u16>,
     version: Mutex<String>,
     draining: Mutex<bool>,
-    /// What its answers name as its limit, as text.
+    /// The limit that answers name, as text.
     limit: Mutex<Option<String>>,
-    /// Whether its answers say that it leaves.
+    /// Whether answers carry the leaving signal.
     leaving: Mutex<bool>,
-    /// When requests that name this instance reached it.
+    /// The requests that were addressed to this instance.
     arrivals: Mutex<Vec<Arrival>>,
-    beats: Mutex<bool>,
+    sends_heartbeats: Mutex<bool>,
     sequence: AtomicU64,
-    /// When it started, in Unix milliseconds of its own clock.
-    born: AtomicU64,
+    /// Start time, in Unix milliseconds by the clock of the instance.
+    start_ms: AtomicU64,
     ledger: Ledger,
-    seen: Mutex<Vec<(String, String)>>,
-    senders: Mutex<Vec<RequestOrigin>>,
+    caller_headers: Mutex<Vec<(String, String)>>,
+    request_origins: Mutex<Vec<RequestOrigin>>,
     abandoned: Mutex<Vec<String>>,
-    front: Front,
-    fatal: Mutex<Vec<FatalRun>>,
-    /// How often it ended.
-    ends: AtomicU64,
+    relay: Relay,
+    fatal_runs: Mutex<Vec<FatalRun>>,
+    /// Number of crashes.
+    crashes: AtomicU64,
 }
 
 /// A running instance.
 pub struct Instance {
-    /// Where it serves.
+    /// The listen address.
     pub addr: SocketAddr,
     service: String,
     control: SocketAddr,
@@ -131,28 +132,28 @@
     pub fn start(id: &str, service: &str, control: SocketAddr, ledger: Ledger) -> Arc<Instance> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a free port");
         let server = listener.get_ref().local_addr().expect("a bound socket has an address");
-        let front = Front::start(server);
-        let addr = front.addr;
+        let relay = Relay::start(server);
+        let addr = relay.addr;
         let shared = Arc::new(Shared {
             id: Mutex::new(id.to_string()),
-            manner: Mutex::default(),
-            work: Mutex::new(Duration::from_millis(2)),
+            answer_mode: Mutex::default(),
+            service_time: Mutex::new(Duration::from_millis(2)),
             slots: Mutex::new(9),
             version: Mutex::new("v1".to_string()),
             draining: Mutex::new(false),
             limit: Mutex::default(),
             leaving: Mutex::default(),
             arrivals: Mutex::default(),
-            beats: Mutex::new(true),
+            sends_heartbeats: Mutex::new(true),
             sequence: AtomicU64::new(0),
-            born: AtomicU64::new(1),
+            start_ms: AtomicU64::new(1),
             ledger,
-            seen: Mutex::default(),
-            senders: Mutex::default(),
+            caller_headers: Mutex::default(),
+            request_origins: Mutex::default(),
             abandoned: Mutex::default(),
-            front,
-            fatal: Mutex::default(),
-            ends: AtomicU64::new(0),
+            relay,
+            fatal_runs: Mutex::default(),
+            crashes: AtomicU64::new(0),
         });
         let (stop, stopped) = server::stop_pair();
         let serving = shared.clone();
@@ -168,92 +169,95 @@
             pool: Pool::new(1),
             _stop: stop,
         });
-        let beating = Arc::downgrade(&instance);
+        let weak_instance = Arc::downgrade(&instance);
         exec::spawn(async move {
-            while let Some(instance) = beating.upgrade() {
-                let beats = *lock(&instance.shared.beats);
-                if beats {
+            while let Some(instance) = weak_instance.upgrade() {
+                let sends_heartbeats = *lock(&instance.shared.sends_heartbeats);
+                if sends_heartbeats {
                     let _daemon_may_be_down = instance.send_heartbeat().await;
                 }
                 drop(instance);
-                smol::Timer::after(HEARTBEAT_EVERY).await;
+                smol::Timer::after(HEARTBEAT_INTERVAL).await;
             }
         })
         .detach();
         instance
     }
 
-    /// Changes how it answers.
-    pub fn set_answer_mode(&self, manner: AnswerMode) {
-        *lock(&self.shared.manner) = manner;
+    /// Changes how requests are answered.
+    pub fn set_answer_mode(&self, answer_mode: AnswerMode) {
+        *lock(&self.shared.answer_mode) = answer_mode;
     }
 
-    /// Changes how long a request takes.
-    pub fn set_service_time(&self, work: Duration) {
-        *lock(&self.shared.work) = work;
+    /// Changes the service time of a request.
+    pub fn set_service_time(&self, service_time: Duration) {
+        *lock(&self.shared.service_time) = service_time;
     }
 
-    /// Changes how many requests it says that it runs at once.
+    /// Changes the reported number of slots.
     pub fn set_slots(&self, slots: u16) {
         *lock(&self.shared.slots) = slots;
     }
 
-    /// Changes which version of its software it says that it is.
+    /// Changes the reported software version.
     pub fn set_version(&self, version: &str) {
         *lock(&self.shared.version) = version.to_string();
     }
 
-    /// Names a limit in all answers, in requests a second, or none any more.
+    /// Names a limit in requests per second in all further answers; `None` names no limit.
     pub fn name_limit(&self, per_s: Option<&str>) {
         *lock(&self.shared.limit) = per_s.map(str::to_string);
     }
 
-    /// Says in all answers that it leaves, without a heartbeat that does.
+    /// Sends the leaving signal in all further answers, but not in heartbeats.
     pub fn signal_leaving(&self) {
         *lock(&self.shared.leaving) = true;
     }
 
-    /// Returns the requests that reached it.
+    /// Returns the requests that reached the instance.
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.shared.arrivals).clone()
     }
 
     /// Stops or resumes heartbeats.
-    pub fn set_heartbeats(&self, beats: bool) {
-        *lock(&self.shared.beats) = beats;
+    pub fn set_heartbeats(&self, sends_heartbeats: bool) {
+        *lock(&self.shared.sends_heartbeats) = sends_heartbeats;
     }
 
-    /// Becomes another instance at the same address, without a word.
+    /// Replaces the instance by another one at the same address, without a report to the
+    /// daemon.
     pub fn replace_id(&self, id: &str) {
         *lock(&self.shared.id) = id.to_string();
     }
 
-    /// Starts again under its id at a moment of its own clock: it knows nothing of before
-    /// and counts its heartbeats anew. Returns whether the first was acknowledged.
-    pub async fn restart_at(&self, born: u64) -> bool {
-        self.shared.born.store(born, Ordering::Relaxed);
+    /// Restarts under the same id with the start time `start_ms`, by the clock of the instance.
+    /// Draining, limit and leaving signal are reset and heartbeats are counted from 0 again.
+    /// Returns whether the first heartbeat is acknowledged.
+    pub async fn restart_at(&self, start_ms: u64) -> bool {
+        self.shared.start_ms.store(start_ms, Ordering::Relaxed);
         self.shared.sequence.store(0, Ordering::Relaxed);
         *lock(&self.shared.draining) = false;
         *lock(&self.shared.leaving) = false;
         *lock(&self.shared.limit) = None;
-        *lock(&self.shared.beats) = true;
+        *lock(&self.shared.sends_heartbeats) = true;
         self.send_heartbeat().await
     }
 
-    /// Reports that it is leaving; returns whether that was acknowledged.
+    /// Reports `draining` in a heartbeat. Returns whether the heartbeat is acknowledged.
     pub async fn drain(&self) -> bool {
         *lock(&self.shared.draining) = true;
         self.send_heartbeat().await
     }
 
-    /// Says that it is gone, and goes on serving.
+    /// Withdraws the instance from the daemon and stops heartbeats, but goes on serving.
+    /// Returns whether the withdrawal is acknowledged.
     pub async fn leave(&self) -> bool {
-        *lock(&self.shared.beats) = false;
+        *lock(&self.shared.sends_heartbeats) = false;
         let id = lock(&self.shared.id).clone();
-        self.tell(Method::DELETE, &id, String::new()).await
+        self.send_to_daemon(Method::DELETE, &id, String::new()).await
     }
 
-    /// Sends one heartbeat; returns whether it was acknowledged.
+    /// Sends one heartbeat. Returns whether it is acknowledged.
     pub async fn send_heartbeat(&self) -> bool {
         let id = lock(&self.shared.id).clone();
         let sequence = self.shared.sequence.fetch_add(1, Ordering::Relaxed);
@@ -261,108 +265,110 @@
         self.send_heartbeat_as(&id, sequence, draining).await
     }
 
-    /// Sends a heartbeat with any content, such as one that was held up.
+    /// Sends a heartbeat with the given content, such as one that arrives late.
     pub async fn send_heartbeat_as(&self, id: &str, sequence: u64, draining: bool) -> bool {
-        let born = self.shared.born.load(Ordering::Relaxed);
-        self.send_heartbeat_of_incarnation(id, born, sequence, draining).await
+        let start_ms = self.shared.start_ms.load(Ordering::Relaxed);
+        self.send_heartbeat_of_incarnation(id, start_ms, sequence, draining).await
     }
 
-    /// Sends a heartbeat of any start.
+    /// Sends a heartbeat with the given content and start time; 0 leaves the start time out.
     pub async fn send_heartbeat_of_incarnation(
         &self,
         id: &str,
-        born: u64,
+        start_ms: u64,
         sequence: u64,
         draining: bool,
     ) -> bool {
         let slots = *lock(&self.shared.slots);
         let version = lock(&self.shared.version).clone();
         let state = if draining { "draining" } else { "ready" };
-        let mut beat = json!({
+        let mut heartbeat = json!({
             "Address": self.addr,
             "Info": {"Service": self.service, "Version": version, "Zone": "a", "Slots": slots},
             "Status": {"State": state, "Seq": sequence, "ColdMs": 0},
         });
-        if born != 0 {
-            beat["born"] = json!(born);
+        if start_ms != 0 {
+            heartbeat["born"] = json!(start_ms);
         }
-        self.tell(Method::PUT, id, beat.to_string()).await
+        self.send_to_daemon(Method::PUT, id, heartbeat.to_string()).await
     }
 
-    /// Returns the requests whose connection closed while it was at work.
+    /// Returns the ids of the requests whose connection closed during their execution.
     pub fn abandoned(&self) -> Vec<String> {
         lock(&self.shared.abandoned).clone()
     }
 
-    /// Returns the runs of requests that end instances, here.
+    /// Returns the executions of requests that crash the instance.
     pub fn fatal_runs(&self) -> Vec<FatalRun> {
-        lock(&self.shared.fatal).clone()
+        lock(&self.shared.fatal_runs).clone()
     }
 
-    /// Ends without a word, and is back as another instance after [`RESTART_DELAY`].
+    /// Crashes the instance, which restarts under another id after [`RESTART_DELAY`].
     pub fn crash(&self) {
-        self.shared.end();
+        self.shared.crash();
     }
 
-    /// Returns the callers' services and deadlines that it saw.
+    /// Returns the caller's service and the deadline of each executed request.
     pub fn caller_headers(&self) -> Vec<(String, String)> {
-        lock(&self.shared.seen).clone()
+        lock(&self.shared.caller_headers).clone()
     }
 
-    /// Returns who sent the requests that it ran.
+    /// Returns the origins of the executed requests.
     pub fn request_origins(&self) -> Vec<RequestOrigin> {
-        lock(&self.shared.senders).clone()
+        lock(&self.shared.request_origins).clone()
     }
 
-    async fn tell(&self, method: Method, id: &str, body: String) -> bool {
+    async fn send_to_daemon(&self, method: Method, id: &str, body: String) -> bool {
         let req = Request::builder()
             .method(method)
             .uri(format!("/cicadashift/instances/{id}"))
             .header("host", "control")
             .body(body::full(body));
         let Ok(req) = req else { return false };
-        let result = self.pool.exchange(self.control, req, 4096, CONTROL_TIME).await;
+        let result = self.pool.exchange(self.control, req, 4096, CONTROL_TIMEOUT).await;
         result.is_ok_and(|res| res.status() == StatusCode::OK)
     }
 }
 
 impl Shared {
-    /// Ends like a process: no further heartbeat, its port and connections closed.
-    fn end(self: &Arc<Self>) {
-        if !std::mem::replace(&mut *lock(&self.beats), false) {
+    /// Simulates the end of the process: stops heartbeats and closes the port and all
+    /// connections.
+    fn crash(self: &Arc<Self>) {
+        if !std::mem::replace(&mut *lock(&self.sends_heartbeats), false) {
             return;
         }
-        self.front.end();
-        let ends = self.ends.fetch_add(1, Ordering::Relaxed) + 1;
+        self.relay.close();
+        let crashes = self.crashes.fetch_add(1, Ordering::Relaxed) + 1;
         let shared = self.clone();
         exec::spawn(async move {
             smol::Timer::after(RESTART_DELAY).await;
             let id = lock(&shared.id).split('.').next().unwrap_or_default().to_string();
-            *lock(&shared.id) = format!("{id}.{ends}");
+            *lock(&shared.id) = format!("{id}.{crashes}");
             shared.sequence.store(0, Ordering::Relaxed);
-            shared.front.listen_again();
-            *lock(&shared.beats) = true;
+            shared.relay.listen_again();
+            *lock(&shared.sends_heartbeats) = true;
         })
         .detach();
     }
 }
 
-/// A run in progress; dropped before its end when its connection closes.
-struct Run {
+/// An execution in progress. It is dropped before [`Execution::complete`] if its connection
+/// closes.
+struct Execution {
     shared: Arc<Shared>,
     id: String,
-    ended: bool,
+    completed: bool,
 }
 
-impl Run {
-    fn end(mut self) {
-        self.ended = true;
+impl Execution {
+    fn complete(mut self) {
+        self.completed = true;
     }
 }
 
-impl Drop for Run {
+impl Drop for Execution {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.completed {
             lock(&self.shared.abandoned).push(self.id.clone());
         }
     }
@@ -398,48 +404,48 @@
         instance: own.clone(),
         at: Instant::now(),
     });
-    let manner = *lock(&shared.manner);
-    if manner == AnswerMode::Shedding {
+    let answer_mode = *lock(&shared.answer_mode);
+    if answer_mode == AnswerMode::Shedding {
         return not_run(StatusCode::SERVICE_UNAVAILABLE, &id, &own);
     }
-    lock(&shared.seen).push((text("x-caller-service"), text("x-deadline-ms")));
-    lock(&shared.senders).push(RequestOrigin {
+    lock(&shared.caller_headers).push((text("x-caller-service"), text("x-deadline-ms")));
+    lock(&shared.request_origins).push(RequestOrigin {
         id: id.clone(),
         organisation: text("x-tenant"),
         has_credentials: head.headers.contains_key("authorization"),
     });
-    let body = body::read(incoming, MOST).await.unwrap_or_default();
+    let body = body::read(incoming, MAX_BODY_BYTES).await.unwrap_or_default();
     shared.ledger.record_run(&id);
-    let work = *lock(&shared.work);
+    let service_time = *lock(&shared.service_time);
     if head.uri.path().contains(FATAL_PATH) {
         let path = head.uri.path().to_string();
-        lock(&shared.fatal).push(FatalRun { path, id, at: Instant::now() });
-        // By itself: a run that has begun ends the instance whether or not its caller
-        // stays, and the end drops the connection.
-        let ending = shared.clone();
-        let ending = async move {
-            smol::Timer::after(work).await;
-            ending.end();
+        lock(&shared.fatal_runs).push(FatalRun { path, id, at: Instant::now() });
+        // In a task of its own: once begun, the execution crashes the instance even if the
+        // caller disconnects. The crash also drops the connection of the request.
+        let crashing = shared.clone();
+        let crash = async move {
+            smol::Timer::after(service_time).await;
+            crashing.crash();
         };
-        exec::spawn(ending).detach();
+        exec::spawn(crash).detach();
         return std::future::pending().await;
     }
-    let run = Run { shared: shared.clone(), id: id.clone(), ended: false };
-    smol::Timer::after(work).await;
-    run.end();
-    if manner == AnswerMode::Silent {
+    let execution = Execution { shared: shared.clone(), id: id.clone(), completed: false };
+    smol::Timer::after(service_time).await;
+    execution.complete();
+    if answer_mode == AnswerMode::Silent {
         return std::future::pending().await;
     }
-    if manner == AnswerMode::Truncating {
+    if answer_mode == AnswerMode::Truncating {
         return truncated(&id, &own);
     }
-    let echoed = if manner == AnswerMode::WrongId { "of-another" } else { id.as_str() };
+    let echoed = if answer_mode == AnswerMode::WrongId { "of-another" } else { id.as_str() };
     let answer = match head.uri.path().ends_with("/large") {
         true => id.repeat(LARGE_BYTES / id.len().max(1)),
         false => format!("{own} {id} {}", body.len()),
     };
     let mut res = Response::new(body::full(answer));
-    if manner == AnswerMode::Failing {
+    if answer_mode == AnswerMode::Failing {
         *res.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
     }
     set(&mut res, "x-request-id", echoed);
@@ -447,11 +453,11 @@
     res
 }
 
-/// An answer that breaks off after its first bytes.
+/// Returns an answer whose body fails after its first bytes.
 fn truncated(id: &str, own: &str) -> Response<Body> {
-    let begun = smol::stream::once(Ok(Frame::data(Bytes::from_static(b"begun"))));
+    let first_bytes = smol::stream::once(Ok(Frame::data(Bytes::from_static(b"begun"))));
     let broken = smol::stream::once(Err(BodyError::Broken("on purpose".to_string())));
-    let mut res = Response::new(StreamBody::new(begun.chain(broken)).boxed_unsync());
+    let mut res = Response::new(StreamBody::new(first_bytes.chain(broken)).boxed_unsync());
     set(&mut res, "x-request-id", id);
     set(&mut res, "x-server-stamp", own);
     res
@@ -463,7 +469,7 @@
         *res.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     set(&mut res, "x-instance-id", own);
-    // The last figure is how long work takes there now, in hundredths of the usual time.
+    // The last number is the current service time in hundredths of the usual service time.
     let slots = *lock(&shared.slots);
     set(&mut res, "x-server-load", &format!("0,0,{slots},140"));
     res
--- a/crates/testkit/src/hosted/mod.rs
+++ b/crates/testkit/src/hosted/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the users' platform: its store, its instances, and daemons with
-//! the settings that it would render.
+//! Simulation of the users' platform: its metadata store, its instances, and daemons
+//! with the settings that the platform would generate.
 
 pub mod fleet;
 pub mod front;
--- a/crates/testkit/src/hosted/store.rs
+++ b/crates/testkit/src/hosted/store.rs
@@ -1,7 +1,9 @@
-//! The platform's metadata store, as its published protocol says.
+//! A simulated metadata store of the users' platform, with the platform's published
+//! protocol.
 //!
-//! Only the fields that the product uses are there. What can go wrong is in
-//! [`Faults`]; a machine that is turned away alone is a cut [`crate::link::Link`].
+//! Implements only the fields that cicadashift uses. [`Faults`] lists the faults that can
+//! be injected. A store that is unreachable from a single host is simulated by cutting the
+//! [`crate::link::Link`] of that host.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -18,31 +20,31 @@
 
 /// Key of the operators' configuration.
 pub const CONFIG_KEY: &str = "op/config";
-/// Prefix of what operators write.
-const OPERATOR: &str = "op/";
-/// Step in which a waiting watch looks for changes.
-const STEP: Duration = Duration::from_millis(5);
-const MOST: usize = 4 << 20;
+/// Prefix of the keys that operators write.
+const OPERATOR_PREFIX: &str = "op/";
+/// Interval at which a pending watch checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_REQUEST_BYTES: usize = 4 << 20;
 
-/// How the store is down.
+/// How calls fail during an outage of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// It takes calls and never answers.
+    /// The store accepts calls and never answers.
     Silent,
-    /// It answers that it is busy, and does nothing.
+    /// The store answers 503 and does not execute the call.
     Busy,
-    /// It answers that calls are over their rate, and does nothing.
+    /// The store answers 429 and does not execute the call.
     TooMany,
 }
 
-/// What is made to go wrong.
+/// Injected faults.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Every call fails in this way, and watches end.
+    /// Every call fails in this way, and pending watches end.
     pub down: Option<Outage>,
-    /// Added to each call.
+    /// Delay added to each call.
     pub delay: Duration,
-    /// This many writes take effect and their answers are lost.
+    /// Number of the next transactions that are executed but never answered.
     pub lose_answers: u32,
 }
 
@@ -58,19 +60,19 @@
 struct State {
     revision: i64,
     items: BTreeMap<String, Item>,
-    /// Changes by revision; a deleted item has no value.
+    /// Changes by revision; `None` stands for a deletion.
     history: BTreeMap<i64, (String, Option<Item>)>,
-    /// The newest revision whose history is gone.
-    dropped: i64,
+    /// The newest revision whose change is no longer in `history`.
+    compacted: i64,
     leases: HashMap<i64, (Duration, Instant)>,
     next_lease: i64,
     faults: Faults,
     calls: u64,
-    /// Rises each time that it comes back from a copy.
+    /// Incremented each time the store is restored from a copy.
     era: u64,
 }
 
-/// A copy of all that the store held, from which it may come back.
+/// A copy of the contents of the store, from which the store can be restored.
 pub struct StoreCopy {
     revision: i64,
     items: BTreeMap<String, Item>,
@@ -79,16 +81,16 @@
     next_lease: i64,
 }
 
-/// A running stand-in.
+/// A running simulated store.
 pub struct Store {
-    /// Where it listens.
+    /// The listen address.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
     _stop: Stop,
 }
 
 impl Store {
-    /// Starts on a port of the system's choice.
+    /// Starts the store on a free port.
     ///
     /// # Panics
     ///
@@ -106,51 +108,51 @@
         Store { addr, state, _stop: stop }
     }
 
-    /// Changes what goes wrong.
+    /// Changes the injected faults.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.state).faults);
     }
 
-    /// Writes a key as the operator does.
+    /// Writes a key without a lease, as an operator does.
     pub fn put(&self, key: &str, value: &[u8]) {
         lock(&self.state).put(key, STANDARD.encode(value), 0);
     }
 
-    /// Returns what a key holds.
+    /// Returns the value of a key.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         let state = lock(&self.state);
         let item = state.items.get(key)?;
         STANDARD.decode(&item.value).ok()
     }
 
-    /// Returns the keys with a prefix.
+    /// Returns the keys that begin with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = lock(&self.state);
         state.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Ends every lease at once.
+    /// Expires all leases and deletes their keys immediately.
     pub fn expire_all_leases(&self) {
         let mut state = lock(&self.state);
         state.leases.clear();
         state.expire(Instant::now());
     }
 
-    /// Takes keys away although their leases run on.
+    /// Deletes all keys that begin with `prefix`, although their leases stay valid.
     pub fn delete_prefix(&self, prefix: &str) {
         for key in self.keys(prefix) {
             lock(&self.state).delete(&key);
         }
     }
 
-    /// Forgets all changes so far.
+    /// Discards the history of changes, so that watches from older revisions fail.
     pub fn drop_history(&self) {
         let mut state = lock(&self.state);
-        state.dropped = state.revision;
+        state.compacted = state.revision;
         state.history.clear();
     }
 
-    /// Takes a copy of all that it holds.
+    /// Returns a copy of the contents of the store.
     pub fn copy(&self) -> StoreCopy {
         let state = lock(&self.state);
         StoreCopy {
@@ -162,16 +164,16 @@
         }
     }
 
-    /// Comes back from a copy: what was written since is gone, leases too, positions and
-    /// numbers of leases are given out again, and the operator writes again what is
-    /// theirs.
+    /// Restores the store from a copy. Writes and leases since the copy are lost, revisions
+    /// and lease ids are assigned again, and the operator's keys are written once more with
+    /// their latest values.
     pub fn restore(&self, copy: StoreCopy) {
         let mut state = lock(&self.state);
-        let of_operator = |(key, _): &(&String, &Item)| key.starts_with(OPERATOR);
-        let kept: Vec<(String, String)> = state
+        let is_operator_key = |(key, _): &(&String, &Item)| key.starts_with(OPERATOR_PREFIX);
+        let operator_items: Vec<(String, String)> = state
             .items
             .iter()
-            .filter(of_operator)
+            .filter(is_operator_key)
             .map(|(key, item)| (key.clone(), item.value.clone()))
             .collect();
         state.era += 1;
@@ -180,10 +182,10 @@
         state.history = copy.history;
         state.leases = copy.leases;
         state.next_lease = copy.next_lease;
-        kept.into_iter().for_each(|(key, value)| state.put(&key, value, 0));
+        operator_items.into_iter().for_each(|(key, value)| state.put(&key, value, 0));
     }
 
-    /// Returns how many calls came.
+    /// Returns the number of calls received.
     pub fn calls(&self) -> u64 {
         lock(&self.state).calls
     }
@@ -208,13 +210,13 @@
 
     fn expire(&mut self, now: Instant) {
         self.leases.retain(|_, (ttl, renewed)| now < *renewed + *ttl);
-        let ended: Vec<String> = self
+        let expired: Vec<String> = self
             .items
             .iter()
             .filter(|(_, item)| item.lease != 0 && !self.leases.contains_key(&item.lease))
             .map(|(key, _)| key.clone())
             .collect();
-        ended.iter().for_each(|key| self.delete(key));
+        expired.iter().for_each(|key| self.delete(key));
     }
 
     fn events_after(&self, prefix: &str, after: i64) -> Vec<Value> {
@@ -230,7 +232,7 @@
 }
 
 async fn handle(state: Arc<Mutex<State>>, req: Request<Body>) -> Response<Body> {
-    let mut res = answered(state.clone(), req).await;
+    let mut res = dispatch(state.clone(), req).await;
     let era = lock(&state).era.to_string();
     if let Ok(era) = era.parse() {
         res.headers_mut().insert("store-era", era);
@@ -238,7 +240,7 @@
     res
 }
 
-async fn answered(state: Arc<Mutex<State>>, req: Request<Body>) -> Response<Body> {
+async fn dispatch(state: Arc<Mutex<State>>, req: Request<Body>) -> Response<Body> {
     let faults = {
         let mut state = lock(&state);
         state.calls += 1;
@@ -253,22 +255,22 @@
     }
     smol::Timer::after(faults.delay).await;
     let (head, incoming) = req.into_parts();
-    let body = body::read(incoming, MOST).await.unwrap_or_default();
-    let asked: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-    let query = query(head.uri.query().unwrap_or_default());
+    let body = body::read(incoming, MAX_REQUEST_BYTES).await.unwrap_or_default();
+    let request: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
+    let query = parse_query(head.uri.query().unwrap_or_default());
     let path = head.uri.path().trim_start_matches("/cicadashift/");
-    let (name, id) = path.split_once('/').unwrap_or((path, ""));
+    let (call, id) = path.split_once('/').unwrap_or((path, ""));
     let id: i64 = id.parse().unwrap_or(0);
-    match (&head.method, name) {
-        (&Method::GET, "kv-key") => key(&lock(&state), &query),
+    match (&head.method, call) {
+        (&Method::GET, "kv-key") => get(&lock(&state), &query),
         (&Method::GET, "kv-range") => range(&lock(&state), &query),
         (&Method::GET, "kv-watch") => watch(&state, &query).await,
         (&Method::POST, "kv-txn") => {
-            let response = transact(&mut lock(&state), &asked);
-            lose(&state, response).await
+            let response = transact(&mut lock(&state), &request);
+            lose_or_return(&state, response).await
         }
-        (&Method::POST, "kv-lease") => grant(&mut lock(&state), &asked),
-        (&Method::POST, "kv-keep") => keep(&mut lock(&state), id),
+        (&Method::POST, "kv-lease") => grant_lease(&mut lock(&state), &request),
+        (&Method::POST, "kv-keep") => keep_lease_alive(&mut lock(&state), id),
         (&Method::DELETE, "kv-lease-end") => {
             lock(&state).leases.remove(&id);
             answer(StatusCode::OK, &json!({}))
@@ -277,7 +279,7 @@
     }
 }
 
-fn key(state: &State, query: &HashMap<String, String>) -> Response<Body> {
+fn get(state: &State, query: &HashMap<String, String>) -> Response<Body> {
     let key = &query["Key"];
     let Some(item) = state.items.get(key) else {
         return answer(StatusCode::NOT_FOUND, &json!({"AsOf": state.revision}));
@@ -287,7 +289,7 @@
     answer(StatusCode::OK, &found)
 }
 
-/// Answers with pages of two items, so that every reader meets a second page.
+/// Answers with pages of two items, so that readers have to handle further pages.
 fn range(state: &State, query: &HashMap<String, String>) -> Response<Body> {
     let after = query.get("after").cloned().unwrap_or_default();
     let all: Vec<_> = state
@@ -311,7 +313,7 @@
             if state.faults.down.is_some() {
                 return answer(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
             }
-            if after < state.dropped || after > state.revision {
+            if after < state.compacted || after > state.revision {
                 return answer(StatusCode::GONE, &json!({}));
             }
             let events = state.events_after(&query["Prefix"], after);
@@ -320,12 +322,12 @@
                 return answer(StatusCode::OK, &body);
             }
         }
-        smol::Timer::after(STEP).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
 
-fn transact(state: &mut State, asked: &Value) -> Response<Body> {
-    let rows = |name: &str| asked[name].as_array().cloned().unwrap_or_default();
+fn transact(state: &mut State, request: &Value) -> Response<Body> {
+    let rows = |name: &str| request[name].as_array().cloned().unwrap_or_default();
     let text = |row: &Value, name: &str| row[name].as_str().unwrap_or_default().to_string();
     for row in rows("Expected") {
         let now = state.items.get(&text(&row, "Key")).map_or(0, |item| item.revision);
@@ -346,8 +348,8 @@
     answer(StatusCode::OK, &json!({"Revision": state.revision}))
 }
 
-/// Holds an answer back for good if answers are to be lost.
-async fn lose(state: &Mutex<State>, response: Response<Body>) -> Response<Body> {
+/// Never answers if [`Faults::lose_answers`] is above 0; returns the response otherwise.
+async fn lose_or_return(state: &Mutex<State>, response: Response<Body>) -> Response<Body> {
     let lost = {
         let faults = &mut lock(state).faults;
         let lost = faults.lose_answers > 0;
@@ -360,15 +362,15 @@
     }
 }
 
-fn grant(state: &mut State, asked: &Value) -> Response<Body> {
+fn grant_lease(state: &mut State, request: &Value) -> Response<Body> {
     state.next_lease += 1;
-    let ttl = asked["TtlMs"].as_u64().unwrap_or(1000);
+    let ttl = request["TtlMs"].as_u64().unwrap_or(1000);
     let lease = state.next_lease;
     state.leases.insert(lease, (Duration::from_millis(ttl), Instant::now()));
     answer(StatusCode::OK, &json!({"Lease": lease, "TtlMs": ttl}))
 }
 
-fn keep(state: &mut State, id: i64) -> Response<Body> {
+fn keep_lease_alive(state: &mut State, id: i64) -> Response<Body> {
     let Some((ttl, renewed)) = state.leases.get_mut(&id) else {
         return answer(StatusCode::NOT_FOUND, &json!({}));
     };
@@ -386,7 +388,7 @@
     })
 }
 
-fn query(text: &str) -> HashMap<String, String> {
+fn parse_query(text: &str) -> HashMap<String, String> {
     let pairs = text.split('&').filter_map(|pair| pair.split_once('='));
     pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect()
 }
