--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request and says exactly what became of it.
+//! A caller, which sends requests and classifies their results.
 
 use bytes::Bytes;
 use cicadashift_http::body;
@@ -7,54 +7,54 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time after which a caller stops waiting; longer than any deadline used.
-const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-const MOST: usize = 64 << 20;
+/// Client-side timeout of a request; longer than any deadline in the tests.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// What a caller got.
+/// How a request ended for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A whole answer of an upstream.
+    /// A complete answer of an upstream.
     Answer { status: u16, body: Bytes, instance: String, request: String },
-    /// Told that it did not run, and when to come back.
+    /// The request was reported as not run, with the time after which to retry.
     NotRun { reason: String, retry_after: Duration },
-    /// Told that it may have run.
+    /// The request was reported as possibly run.
     Unknown,
-    /// Refused for what it is, such as no route.
+    /// Any other answer, such as 404 for a missing route, with its status code.
     Refused(u16),
-    /// Nothing that can be understood: lost.
+    /// The request could not be sent or no complete answer arrived, with the error.
     Lost(String),
 }
 
-/// One request's result.
+/// The result of one request.
 #[derive(Clone, Debug)]
 pub struct CallResult {
-    /// What came back.
+    /// How the request ended.
     pub outcome: CallOutcome,
-    /// How long it took.
+    /// Time from sending the request to its result.
     pub took: Duration,
 }
 
-/// Sends requests to one entry daemon or upstream.
+/// Sends requests to one entry daemon or one upstream.
 pub struct Caller {
     to: SocketAddr,
     pool: Pool,
 }
 
 impl Caller {
-    /// Makes a caller that keeps its connections.
+    /// Creates a caller that reuses its connections.
     pub fn new(to: SocketAddr) -> Caller {
         Caller { to, pool: Pool::new(256) }
     }
 
-    /// Sends one request named `id`.
+    /// Sends one request with the request id `id`.
     pub async fn call(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> CallResult {
         let started = Instant::now();
-        let outcome = self.attempt(method, uri, id, body).await;
+        let outcome = self.send(method, uri, id, body).await;
         CallResult { outcome, took: started.elapsed() }
     }
 
-    async fn attempt(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> CallOutcome {
+    async fn send(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> CallOutcome {
         let method = Method::from_bytes(method.as_bytes()).unwrap_or(Method::GET);
         let req = Request::builder()
             .method(method)
@@ -63,7 +63,7 @@
             .header("cicadashift-request-id", id)
             .body(body::full(body.to_vec()));
         let Ok(req) = req else { return CallOutcome::Lost("bad request".to_string()) };
-        let res = match self.pool.exchange(self.to, req, MOST, WAIT_TIMEOUT).await {
+        let res = match self.pool.exchange(self.to, req, MAX_ANSWER_BYTES, REQUEST_TIMEOUT).await {
             Ok(res) => res,
             Err(err) => return CallOutcome::Lost(err.to_string()),
         };
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons as separate processes, with the links between failure domains.
+//! Daemons as separate processes, and the links between failure domains.
 
 use crate::link::Link;
 use crate::ports;
@@ -12,42 +12,42 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Secret of every mesh that tests start.
+/// Mesh key of every mesh that tests start.
 pub const MESH_KEY: &str = "a key for tests, not for use";
-/// Witnesses of each failure domain, where it has that many daemons.
+/// Number of witnesses of a failure domain, or all its daemons if it has fewer.
 const WITNESSES: usize = 5;
-const ASK_TIME: Duration = Duration::from_secs(2);
-const POLL: Duration = Duration::from_millis(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What fleet to start.
+/// Parameters of a fleet.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// What comes before `daemon --settings FILE` on its command line.
+    /// Arguments before `daemon --settings FILE` on the command line.
     pub command_prefix: Vec<String>,
     /// Names of the failure domains.
     pub domains: Vec<String>,
-    /// Daemons in each.
+    /// Number of daemons in each failure domain.
     pub per_domain: usize,
-    /// One way between failure domains.
+    /// One-way delay between failure domains.
     pub delay: Duration,
-    /// Service that daemon `i` of a domain hosts, by `i` modulo its length.
+    /// Daemon `i` of a domain hosts the service at index `i` modulo the length of this list.
     pub services: Vec<String>,
-    /// Whether decisions are logged.
+    /// Whether daemons log their decisions.
     pub decisions: bool,
-    /// Threads of each daemon.
+    /// Number of threads of each daemon.
     pub threads: usize,
-    /// Daemon `i` of the fleet has the label `group=gN`, N being `i` modulo this.
+    /// Daemon `i` of the fleet has the label `group=gN`, where N is `i` modulo this number.
     pub groups: usize,
-    /// A decision of the choice of upstreams that is switched off.
+    /// A rule of upstream selection to switch off, by its name in the setting `choice`.
     pub disabled_decision: Option<String>,
-    /// Milliseconds for a request's head to arrive.
+    /// Maximum time in milliseconds for the head of a request to arrive.
     pub head_ms: u64,
 }
 
 impl Spec {
-    /// A small fleet without delay.
+    /// Returns the parameters of a small fleet without delay.
     pub fn small(program: PathBuf, domains: &[&str], per_domain: usize) -> Spec {
         Spec {
             program,
@@ -67,32 +67,32 @@
 
 /// One daemon of a fleet.
 pub struct Daemon {
-    /// The host's name.
+    /// Name of the host.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// The service its settings name.
+    /// The service in the settings of the daemon.
     pub service: String,
-    /// Its label `group`.
+    /// Value of the label `group`.
     pub group: String,
-    /// Port for callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Port for upstreams and operators.
+    /// Listen address for upstreams and operators.
     pub upstreams: SocketAddr,
-    /// Port for other daemons.
+    /// Listen address for other daemons.
     pub mesh: SocketAddr,
-    /// The way to it from other failure domains.
+    /// The link from other failure domains to this daemon.
     pub link: Link,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
 }
 
-/// A running fleet; every process ends with it.
+/// A running fleet. Dropping it kills every process.
 pub struct Fleet {
-    /// Its daemons, by domain and then by number.
+    /// The daemons, ordered by failure domain.
     pub daemons: Vec<Daemon>,
-    /// The way from each failure domain to the platform.
+    /// The link from each failure domain to the platform.
     pub platform_links: Vec<(String, Link)>,
     spec: Spec,
     dir: PathBuf,
@@ -100,21 +100,20 @@
 }
 
 impl Fleet {
-    /// Writes settings and starts every daemon.
+    /// Writes the settings and starts every daemon.
     ///
     /// # Panics
     ///
-    /// Panics where files cannot be written or the program not be started: no
-    /// test can go on from there.
+    /// Panics if a file cannot be written or the program cannot be started.
     pub fn start(spec: Spec, platform: SocketAddr) -> Fleet {
-        let unique = format!("cicadashift-{}-{:08x}", std::process::id(), fastrand::u32(..));
-        let dir = std::env::temp_dir().join(unique);
-        std::fs::create_dir_all(&dir).expect("the temporary folder can be written");
-        let mut nodes = Vec::new();
+        let dir_name = format!("cicadashift-{}-{:08x}", std::process::id(), fastrand::u32(..));
+        let dir = std::env::temp_dir().join(dir_name);
+        std::fs::create_dir_all(&dir).expect("the temporary directory can be created");
+        let mut daemons = Vec::new();
         for domain in &spec.domains {
             for i in 0..spec.per_domain {
-                let group = nodes.len() % spec.groups;
-                nodes.push(Daemon::plan(&spec, domain, i, group, &dir));
+                let group = daemons.len() % spec.groups;
+                daemons.push(Daemon::prepare(&spec, domain, i, group, &dir));
             }
         }
         let platform_links: Vec<_> = spec
@@ -122,56 +121,61 @@
             .iter()
             .map(|domain| (domain.clone(), Link::start(platform, Duration::ZERO)))
             .collect();
-        for node in &nodes {
-            let link = platform_links.iter().find(|(domain, _)| *domain == node.domain);
+        for daemon in &daemons {
+            let link = platform_links.iter().find(|(domain, _)| *domain == daemon.domain);
             let platform = link.map_or(platform, |(_, link)| link.addr);
-            let settings = node.settings_json(&nodes, &spec, platform);
-            std::fs::write(&node.settings, settings.to_string()).expect("settings can be written");
+            let settings = daemon.settings_json(&daemons, &spec, platform);
+            std::fs::write(&daemon.settings, settings.to_string())
+                .expect("the settings can be written");
         }
-        let mut fleet = Fleet { daemons: nodes, platform_links, spec, dir, pool: Pool::new(2) };
+        let mut fleet = Fleet { daemons, platform_links, spec, dir, pool: Pool::new(2) };
         for i in 0..fleet.daemons.len() {
             fleet.restart(i);
         }
         fleet
     }
 
-    /// Returns the daemons of a failure domain, by position.
+    /// Returns the indices of the daemons of a failure domain.
     pub fn in_domain(&self, domain: &str) -> Vec<usize> {
         (0..self.daemons.len()).filter(|i| self.daemons[*i].domain == domain).collect()
     }
 
-    /// Starts a daemon that does not run.
+    /// Starts a daemon that is not running.
     ///
     /// # Panics
     ///
-    /// Panics where the program cannot be started.
+    /// Panics if the program cannot be started.
     pub fn restart(&mut self, i: usize) {
-        let node = &mut self.daemons[i];
-        let log = File::options().create(true).append(true).open(&node.log).expect("a log file");
-        let errors = log.try_clone().expect("a second handle");
-        let _no_port_is_tried = ports::lock_process_starts();
+        let daemon = &mut self.daemons[i];
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(&daemon.log)
+            .expect("the log file can be opened");
+        let errors = log.try_clone().expect("the file handle can be duplicated");
+        let _process_start_lock = ports::lock_process_starts();
         let child = Command::new(&self.spec.program)
             .args(&self.spec.command_prefix)
             .arg("daemon")
             .arg("--settings")
-            .arg(&node.settings)
+            .arg(&daemon.settings)
             .stdin(Stdio::null())
             .stdout(log)
             .stderr(errors)
             .spawn()
             .expect("the program can be started");
-        node.child = Some(child);
+        daemon.child = Some(child);
     }
 
-    /// Ends a daemon without a word.
+    /// Kills a daemon with SIGKILL.
     pub fn kill(&mut self, i: usize) {
         if let Some(mut child) = self.daemons[i].child.take() {
-            let _gone = child.kill();
-            let _gone = child.wait();
+            let _best_effort = child.kill();
+            let _best_effort = child.wait();
         }
     }
 
-    /// Asks a daemon to stop and waits until it has; returns its exit code.
+    /// Sends SIGTERM to a daemon and waits until it has exited. Returns the exit code.
     pub async fn stop(&mut self, i: usize) -> Option<i32> {
         self.signal(i, "-TERM");
         let mut child = self.daemons[i].child.take()?;
@@ -179,36 +183,37 @@
             if let Some(status) = child.try_wait().ok()? {
                 return status.code();
             }
-            smol::Timer::after(POLL).await;
+            smol::Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks a daemon to stop, and goes on.
+    /// Sends SIGTERM to a daemon without waiting for its exit.
     pub fn begin_stop(&self, i: usize) {
         self.signal(i, "-TERM");
     }
 
-    /// Freezes a daemon, or lets it go on.
+    /// Freezes a daemon with SIGSTOP or resumes it with SIGCONT.
     pub fn freeze(&self, i: usize, frozen: bool) {
         self.signal(i, if frozen { "-STOP" } else { "-CONT" });
     }
 
-    /// Cuts a failure domain off from the others, or mends that.
+    /// Cuts or restores the links between all failure domains.
     ///
-    /// A link leads into one daemon from all other domains, so those into the
-    /// others have to be cut as well to stop what goes out. Others lose each
-    /// other with it, as when the site in the middle goes.
+    /// A link carries the traffic from all other domains to one daemon. To stop the outgoing
+    /// traffic of a domain, the links to the daemons of the other domains have to be cut too,
+    /// so the other domains also lose the connections between each other, as in a failure of
+    /// the site that connects them.
     pub fn cut(&self, cut: bool) {
-        self.daemons.iter().for_each(|node| node.link.cut(cut));
+        self.daemons.iter().for_each(|daemon| daemon.link.cut(cut));
     }
 
-    /// Cuts a failure domain's way to the platform, or mends it.
+    /// Cuts or restores the link from a failure domain to the platform.
     pub fn cut_platform(&self, domain: &str, cut: bool) {
         let links = self.platform_links.iter().filter(|(name, _)| name == domain);
         links.for_each(|(_, link)| link.cut(cut));
     }
 
-    /// Returns the last line that each daemon has logged, for failed starts.
+    /// Returns the last log line of each daemon, to explain a failed start.
     pub fn last_log_lines(&self) -> String {
         let lines = (0..self.daemons.len()).map(|i| {
             let log = self.log(i);
@@ -218,104 +223,105 @@
         lines.collect()
     }
 
-    /// Returns the versions that a daemon has run, in the order in which it ran
-    /// them, through all its lives.
+    /// Returns the versions that a daemon has run, in this order, over all its restarts.
     pub fn versions_run(&self, i: usize) -> Vec<u64> {
         let log = self.log(i);
-        let after = log.split("\"version ").skip(1);
-        after
+        let versions = log.split("\"version ").skip(1);
+        versions
             .filter(|rest| rest.contains(" is in force"))
             .filter_map(|rest| rest.split_once(" is in force")?.0.parse().ok())
             .collect()
     }
 
-    /// Returns how often a daemon ran an older version than before.
+    /// Returns how often any daemon changed to an older version.
     pub fn version_regressions(&self) -> usize {
         (0..self.daemons.len())
             .map(|i| self.versions_run(i).windows(2).filter(|pair| pair[1] < pair[0]).count())
             .sum()
     }
 
-    /// Returns the process id of a daemon that runs.
+    /// Returns the process id of a running daemon.
     pub fn pid(&self, i: usize) -> Option<u32> {
         self.daemons[i].child.as_ref().map(Child::id)
     }
 
-    /// Returns what a daemon has logged.
+    /// Returns the log of a daemon.
     pub fn log(&self, i: usize) -> String {
         std::fs::read_to_string(&self.daemons[i].log).unwrap_or_default()
     }
 
-    /// Returns what a daemon tells of itself.
+    /// Returns the status document of a daemon, or `None` if the daemon does not answer.
     pub async fn status(&self, i: usize) -> Option<Value> {
         let req =
             Request::get("/v1/status/self").header("host", "daemon").body(body::empty()).ok()?;
         let to = self.daemons[i].upstreams;
-        let res = self.pool.exchange(to, req, 1 << 20, ASK_TIME).await.ok()?;
+        let res = self.pool.exchange(to, req, 1 << 20, REQUEST_TIMEOUT).await.ok()?;
         serde_json::from_slice(res.body()).ok()
     }
 
-    /// Waits until a condition holds on the status of every daemon named.
+    /// Waits until a condition has held for the status of each of the given daemons.
     ///
-    /// Returns how long it took, or `None` if the time was up first.
+    /// Returns the time until then, or `None` on a timeout.
     pub async fn wait_all(
         &self,
         which: &[usize],
-        time: Duration,
+        timeout: Duration,
         holds: impl Fn(&Value) -> bool,
     ) -> Option<Duration> {
         let started = Instant::now();
-        let mut left: Vec<usize> = which.to_vec();
-        while !left.is_empty() {
-            if started.elapsed() > time {
+        let mut pending: Vec<usize> = which.to_vec();
+        while !pending.is_empty() {
+            if started.elapsed() > timeout {
                 return None;
             }
-            let mut still = Vec::new();
-            for i in left {
+            let mut remaining = Vec::new();
+            for i in pending {
                 if !self.status(i).await.is_some_and(|status| holds(&status)) {
-                    still.push(i);
+                    remaining.push(i);
                 }
             }
-            left = still;
-            if !left.is_empty() {
-                smol::Timer::after(POLL).await;
+            pending = remaining;
+            if !pending.is_empty() {
+                smol::Timer::after(POLL_INTERVAL).await;
             }
         }
         Some(started.elapsed())
     }
 
-    /// Waits until every daemon knows all others of its failure domain.
-    pub async fn wait_joined(&self, time: Duration) -> bool {
+    /// Waits until every daemon lists all members of its failure domain.
+    pub async fn wait_joined(&self, timeout: Duration) -> bool {
         let members = self.spec.per_domain as u64;
         let all: Vec<usize> = (0..self.daemons.len()).collect();
-        let knows_all = |status: &Value| status["members"].as_u64() >= Some(members);
-        let joined = self.wait_all(&all, time, knows_all).await.is_some();
+        let lists_all = |status: &Value| status["members"].as_u64() >= Some(members);
+        let joined = self.wait_all(&all, timeout, lists_all).await.is_some();
         if !joined {
             eprintln!("{}", self.last_log_lines());
         }
         joined
     }
 
-    /// Waits until these daemons run a version or a newer one.
+    /// Waits until the given daemons run a version or a newer one.
     pub async fn wait_running(
         &self,
         which: &[usize],
         version: u64,
-        time: Duration,
+        timeout: Duration,
     ) -> Option<Duration> {
-        self.wait_all(which, time, |status| status["running"].as_u64() >= Some(version)).await
+        self.wait_all(which, timeout, |status| status["running"].as_u64() >= Some(version)).await
     }
 
-    /// Waits until every daemon has heard of a service.
-    pub async fn wait_service(&self, service: &str, time: Duration) -> bool {
+    /// Waits until every daemon lists a service.
+    pub async fn wait_service(&self, service: &str, timeout: Duration) -> bool {
         let all: Vec<usize> = (0..self.daemons.len()).collect();
-        self.wait_all(&all, time, |status| !status["services"][service].is_null()).await.is_some()
+        self.wait_all(&all, timeout, |status| !status["services"][service].is_null())
+            .await
+            .is_some()
     }
 
     fn signal(&self, i: usize, signal: &str) {
         if let Some(pid) = self.pid(i) {
-            let _no_port_is_tried = ports::lock_process_starts();
-            let _sent = Command::new("kill").arg(signal).arg(pid.to_string()).status();
+            let _process_start_lock = ports::lock_process_starts();
+            let _best_effort = Command::new("kill").arg(signal).arg(pid.to_string()).status();
         }
     }
 }
@@ -331,7 +337,7 @@
 }
 
 impl Daemon {
-    fn plan(spec: &Spec, domain: &str, i: usize, group: usize, dir: &std::path::Path) -> Daemon {
+    fn prepare(spec: &Spec, domain: &str, i: usize, group: usize, dir: &std::path::Path) -> Daemon {
         let name = format!("{domain}-{i}");
         let ip = ports::unique_ip();
         let [mesh, callers, upstreams] = ports::free_addrs(ip);
@@ -350,18 +356,20 @@
         }
     }
 
-    fn settings_json(&self, nodes: &[Daemon], spec: &Spec, platform: SocketAddr) -> Value {
-        let near: Vec<&Daemon> = nodes.iter().filter(|node| node.domain == self.domain).collect();
+    fn settings_json(&self, daemons: &[Daemon], spec: &Spec, platform: SocketAddr) -> Value {
+        let near: Vec<&Daemon> =
+            daemons.iter().filter(|daemon| daemon.domain == self.domain).collect();
         let witnesses: Vec<&str> =
-            near.iter().take(WITNESSES).map(|node| node.name.as_str()).collect();
-        let peers: Vec<SocketAddr> = near.iter().take(WITNESSES).map(|node| node.mesh).collect();
+            near.iter().take(WITNESSES).map(|daemon| daemon.name.as_str()).collect();
+        let peers: Vec<SocketAddr> =
+            near.iter().take(WITNESSES).map(|daemon| daemon.mesh).collect();
         let far: serde_json::Map<String, Value> = spec
             .domains
             .iter()
             .filter(|domain| **domain != self.domain)
             .map(|domain| {
-                let links = nodes.iter().filter(|node| node.domain == *domain).take(2);
-                (domain.clone(), links.map(|node| node.link.addr.to_string()).collect())
+                let links = daemons.iter().filter(|daemon| daemon.domain == *domain).take(2);
+                (domain.clone(), links.map(|daemon| daemon.link.addr.to_string()).collect())
             })
             .collect();
         let mut choice = json!({});
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what cicadashift meets: the platform, upstreams, callers, and
-//! the way between failure domains.
+//! Simulations of the environment of cicadashift: the platform, upstreams, callers, and
+//! the links between failure domains.
 //!
-//! They are small, live in memory, speak the published protocols over loopback
-//! and can be told to fail in every way the brief names. They count what
-//! happened to them, so that no test has to believe the daemon's own word.
+//! They keep their state in memory, speak the published protocols over loopback, and can
+//! inject every fault that the requirements list. They record the requests that they
+//! receive, so that tests do not depend on the reports of the daemons.
 
 pub mod caller;
 pub mod fleet;
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -1,4 +1,4 @@
-//! The way between failure domains: a relay that delays and can be cut.
+//! A link between failure domains: a TCP relay with a delay that can be cut.
 
 use cicadashift_http::exec;
 use smol::Async;
@@ -8,18 +8,18 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-const CHUNK: usize = 64 << 10;
+const CHUNK_BYTES: usize = 64 << 10;
 
-/// A relay towards one daemon.
+/// A TCP relay to one address.
 pub struct Link {
-    /// Where others reach the daemon through this link.
+    /// The listen address of the relay.
     pub addr: SocketAddr,
     cut: Arc<AtomicBool>,
     bytes: Arc<AtomicU64>,
 }
 
 impl Link {
-    /// Starts a relay to `to` that adds `delay` each way.
+    /// Starts a relay to `to` that adds `delay` in each direction.
     ///
     /// # Panics
     ///
@@ -33,13 +33,13 @@
         Link { addr, cut, bytes }
     }
 
-    /// Cuts the link, or mends it. Bytes under way when it is cut are lost and
-    /// their connections end.
+    /// Cuts the link or restores it. Cutting loses the bytes in transit and closes all
+    /// connections.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
     }
 
-    /// Returns the bytes that passed, both ways.
+    /// Returns the number of bytes relayed in both directions.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
@@ -52,24 +52,26 @@
     cut: Arc<AtomicBool>,
     bytes: Arc<AtomicU64>,
 ) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((inbound, _)) = listener.accept().await {
         if cut.load(Ordering::SeqCst) {
             continue;
         }
         let (cut, bytes) = (cut.clone(), bytes.clone());
         exec::spawn(async move {
-            let Ok(far) = Async::<TcpStream>::connect(to).await else { return };
-            let _best_effort = (near.get_ref().set_nodelay(true), far.get_ref().set_nodelay(true));
-            let (near, far) = (Arc::new(near), Arc::new(far));
-            let there = pump(near.clone(), far.clone(), delay, cut.clone(), bytes.clone());
-            let back = pump(far, near, delay, cut, bytes);
-            smol::future::zip(there, back).await;
+            let Ok(outbound) = Async::<TcpStream>::connect(to).await else { return };
+            let _best_effort =
+                (inbound.get_ref().set_nodelay(true), outbound.get_ref().set_nodelay(true));
+            let (inbound, outbound) = (Arc::new(inbound), Arc::new(outbound));
+            let forward =
+                relay(inbound.clone(), outbound.clone(), delay, cut.clone(), bytes.clone());
+            let backward = relay(outbound, inbound, delay, cut, bytes);
+            smol::future::zip(forward, backward).await;
         })
         .detach();
     }
 }
 
-async fn pump(
+async fn relay(
     from: Arc<Async<TcpStream>>,
     to: Arc<Async<TcpStream>>,
     delay: Duration,
@@ -79,7 +81,7 @@
     let (tx, rx) = smol::channel::bounded::<(Instant, Vec<u8>)>(1024);
     let reader = async {
         let mut from = &*from;
-        let mut buf = vec![0; CHUNK];
+        let mut buf = vec![0; CHUNK_BYTES];
         while let Ok(len) = from.read(&mut buf).await {
             if len == 0 || tx.send((Instant::now() + delay, buf[..len].to_vec())).await.is_err() {
                 break;
@@ -98,7 +100,7 @@
         }
         let _closed = to.get_ref().shutdown(std::net::Shutdown::Both);
     };
-    let watcher = async {
+    let cut_watcher = async {
         while !cut.load(Ordering::SeqCst) {
             smol::Timer::after(Duration::from_millis(10)).await;
         }
@@ -109,7 +111,7 @@
         async {
             both.await;
         },
-        watcher,
+        cut_watcher,
     )
     .await;
     let _closed = to.get_ref().shutdown(std::net::Shutdown::Both);
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's key-value service, as its JSON gateway is published: range,
-//! transaction, leases, watches.
+//! A simulated key-value service of the platform, with ranges, transactions, leases and
+//! watches in the protocol of its published JSON gateway.
 //!
-//! Only the fields that the product uses are there. What can go wrong is in
-//! [`Faults`]; what it was asked is in [`Counts`].
+//! Implements only the fields that cicadashift uses. [`Faults`] lists the faults that can
+//! be injected; [`Counts`] counts the calls received.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -21,25 +21,26 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Largest value, as the brief gives it.
-const MAX_VALUE: usize = 1 << 20;
-/// Calls per second refused above, unless [`Faults`] says otherwise.
+/// Maximum size of a value, as the requirements give it.
+const MAX_VALUE_BYTES: usize = 1 << 20;
+/// Default of the rate limits in [`Faults`]: no call is refused.
 const NO_LIMIT: u32 = u32::MAX;
 
-/// What is made to go wrong.
+/// Injected faults.
 #[derive(Clone, Debug)]
 pub struct Faults {
-    /// Added to each call.
+    /// Delay added to each call.
     pub delay: Duration,
-    /// Every call fails and every watch ends.
+    /// Whether every call fails and every watch ends.
     pub outage: bool,
-    /// This many writes take effect and their answers are lost.
+    /// Number of the next writes that are executed, with the connection closed instead of an
+    /// answer.
     pub lose_answers: u32,
-    /// Leases end at once, whatever their time.
+    /// Whether all leases expire immediately, before the end of their ttl.
     pub expire_leases: bool,
-    /// Reads a second; further ones are refused.
+    /// Maximum number of reads per second; further reads are refused.
     pub reads_per_s: u32,
-    /// Writes a second; further ones are refused.
+    /// Maximum number of other calls per second; further ones are refused.
     pub writes_per_s: u32,
 }
 
@@ -56,27 +57,27 @@
     }
 }
 
-/// What the platform was asked since its start.
+/// Calls that the platform has received since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Ranges.
+    /// Range requests.
     pub reads: u64,
     /// Transactions.
     pub writes: u64,
-    /// Grants, keep-alives and revocations.
+    /// Grants, keep-alives and revocations of leases.
     pub leases: u64,
-    /// Watches begun.
+    /// Watches started.
     pub watches: u64,
     /// Calls refused over the limit or during an outage.
     pub refused: u64,
-    /// Bytes of values handed out.
+    /// Bytes of values in answers and of watch events.
     pub bytes_out: u64,
-    /// The most calls in any second so far.
+    /// Maximum number of calls in one second.
     pub peak_per_s: u64,
 }
 
 impl Counts {
-    /// Returns all calls, a begun watch as one.
+    /// Returns the number of all calls. A watch counts as one call.
     pub fn calls(&self) -> u64 {
         self.reads + self.writes + self.leases + self.watches
     }
@@ -107,16 +108,16 @@
     second: Option<(Instant, u64, u32, u32)>,
 }
 
-/// A running stand-in.
+/// A running simulated platform.
 pub struct Platform {
-    /// Where it listens.
+    /// The listen address.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
     _stop: Stop,
 }
 
 impl Platform {
-    /// Starts on a port of the system's choice.
+    /// Starts the platform on a free port.
     ///
     /// # Panics
     ///
@@ -136,7 +137,7 @@
         Platform { addr, state, _stop: stop }
     }
 
-    /// Changes what goes wrong.
+    /// Changes the injected faults.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         let mut state = lock(&self.state);
         change(&mut state.faults);
@@ -145,12 +146,12 @@
         }
     }
 
-    /// Returns what it was asked.
+    /// Returns the counts of calls.
     pub fn counts(&self) -> Counts {
         lock(&self.state).counts.clone()
     }
 
-    /// Starts the peak of calls per second anew.
+    /// Resets the maximum number of calls in one second.
     pub fn reset_peak(&self) {
         lock(&self.state).counts.peak_per_s = 0;
     }
@@ -170,7 +171,7 @@
             .collect()
     }
 
-    /// Overwrites a value behind everybody's back, as a broken disk would.
+    /// Overwrites a value without a new revision or a watch event, like corruption on a disk.
     pub fn corrupt(&self, key: &str, value: &[u8]) {
         let mut state = lock(&self.state);
         if let Some(entry) = state.entries.get_mut(key.as_bytes()) {
@@ -185,14 +186,14 @@
         let Some(state) = state.upgrade() else { return };
         let mut state = lock(&state);
         let now = Instant::now();
-        let early = state.faults.expire_leases;
-        let over: Vec<i64> = state
+        let all = state.faults.expire_leases;
+        let expired: Vec<i64> = state
             .leases
             .iter()
-            .filter(|(_, (time, since))| early || now >= *since + *time)
+            .filter(|(_, (ttl, renewed))| all || now >= *renewed + *ttl)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             state.end_lease(id);
         }
     }
@@ -200,10 +201,10 @@
 
 async fn handle(state: Arc<Mutex<State>>, req: Request<Body>) -> Response<Body> {
     let path = req.uri().path().to_string();
-    let Ok(buf) = body::read(req.into_body(), 4 * MAX_VALUE).await else {
+    let Ok(buf) = body::read(req.into_body(), 4 * MAX_VALUE_BYTES).await else {
         return refuse(StatusCode::PAYLOAD_TOO_LARGE, "request too large");
     };
-    let Ok(ask) = serde_json::from_slice::<Value>(&buf) else {
+    let Ok(request) = serde_json::from_slice::<Value>(&buf) else {
         return refuse(StatusCode::BAD_REQUEST, "not JSON");
     };
     let delay = {
@@ -218,24 +219,24 @@
     }
     let mut state = lock(&state);
     match path.as_str() {
-        "/v3/kv/range" => answer(state.range(&ask)),
+        "/v3/kv/range" => answer(state.range(&request)),
         "/v3/kv/txn" => {
-            let result = state.txn(&ask);
-            let writes = ask["success"].to_string().contains("request_put");
+            let result = state.txn(&request);
+            let writes = request["success"].to_string().contains("request_put");
             if writes && state.faults.lose_answers > 0 {
                 state.faults.lose_answers -= 1;
-                return lost();
+                return lose_answer();
             }
             answer(result)
         }
-        "/v3/lease/grant" => answer(state.grant(&ask)),
-        "/v3/lease/keepalive" => answer(json!({"result": state.keep_alive(&ask)})),
+        "/v3/lease/grant" => answer(state.grant(&request)),
+        "/v3/lease/keepalive" => answer(json!({"result": state.keep_alive(&request)})),
         "/v3/lease/revoke" => {
-            let id = number(&ask["ID"]);
+            let id = number(&request["ID"]);
             state.end_lease(id);
             answer(json!({}))
         }
-        "/v3/watch" => state.watch(&ask),
+        "/v3/watch" => state.watch(&request),
         _ => refuse(StatusCode::NOT_FOUND, "no such call"),
     }
 }
@@ -274,13 +275,13 @@
         None
     }
 
-    fn range(&mut self, ask: &Value) -> Value {
-        let (from, to) = (bytes_of(&ask["key"]), bytes_of(&ask["range_end"]));
-        let keys_only = ask["keys_only"].as_bool().unwrap_or(false);
+    fn range(&mut self, request: &Value) -> Value {
+        let (from, to) = (bytes_of(&request["key"]), bytes_of(&request["range_end"]));
+        let keys_only = request["keys_only"].as_bool().unwrap_or(false);
         let found: Vec<Value> = self
             .entries
             .iter()
-            .filter(|(key, _)| within(key, &from, &to))
+            .filter(|(key, _)| in_range(key, &from, &to))
             .map(|(key, entry)| kv(key, entry, keys_only))
             .collect();
         let bytes: usize =
@@ -289,10 +290,11 @@
         json!({"header": self.header(), "count": found.len().to_string(), "kvs": found})
     }
 
-    fn txn(&mut self, ask: &Value) -> Value {
+    fn txn(&mut self, request: &Value) -> Value {
         let none = Vec::new();
-        let holds = ask["compare"].as_array().unwrap_or(&none).iter().all(|cmp| self.compare(cmp));
-        let branch = if holds { &ask["success"] } else { &ask["failure"] };
+        let holds =
+            request["compare"].as_array().unwrap_or(&none).iter().all(|cmp| self.compare(cmp));
+        let branch = if holds { &request["success"] } else { &request["failure"] };
         let responses: Vec<Value> =
             branch.as_array().unwrap_or(&none).iter().map(|op| self.operate(op)).collect();
         json!({"header": self.header(), "succeeded": holds, "responses": responses})
@@ -344,7 +346,7 @@
         let line = Bytes::from(format!("{line}\n"));
         let mut bytes = 0;
         self.watchers.retain(|watcher| {
-            if !within(key, &watcher.from, &watcher.to) {
+            if !in_range(key, &watcher.from, &watcher.to) {
                 return !watcher.tx.is_closed();
             }
             bytes += line.len() as u64;
@@ -353,8 +355,8 @@
         self.counts.bytes_out += bytes;
     }
 
-    fn watch(&mut self, ask: &Value) -> Response<Body> {
-        let create = &ask["create_request"];
+    fn watch(&mut self, request: &Value) -> Response<Body> {
+        let create = &request["create_request"];
         let (tx, rx) = smol::channel::unbounded();
         let created = json!({"result": {"header": self.header(), "created": true}});
         let _open = tx.try_send(Bytes::from(format!("{created}\n")));
@@ -363,7 +365,7 @@
         let start = number(&create["start_revision"]);
         for (key, entry) in &self.entries {
             let due = start > 0 && entry.mod_revision >= start;
-            if due && within(key, &watcher.from, &watcher.to) {
+            if due && in_range(key, &watcher.from, &watcher.to) {
                 let event = json!({"result": {"events": [{"kv": kv(key, entry, false)}]}});
                 let _open = watcher.tx.try_send(Bytes::from(format!("{event}\n")));
             }
@@ -372,21 +374,21 @@
         Response::new(stream(rx))
     }
 
-    fn grant(&mut self, ask: &Value) -> Value {
+    fn grant(&mut self, request: &Value) -> Value {
         self.next_lease += 1;
         let id = self.next_lease;
-        let seconds = number(&ask["TTL"]).max(1);
+        let seconds = number(&request["TTL"]).max(1);
         self.leases.insert(id, (Duration::from_secs(seconds as u64), Instant::now()));
         json!({"ID": id.to_string(), "TTL": seconds.to_string()})
     }
 
-    fn keep_alive(&mut self, ask: &Value) -> Value {
-        let id = number(&ask["ID"]);
-        let Some((time, since)) = self.leases.get_mut(&id) else {
+    fn keep_alive(&mut self, request: &Value) -> Value {
+        let id = number(&request["ID"]);
+        let Some((ttl, renewed)) = self.leases.get_mut(&id) else {
             return json!({"ID": id.to_string(), "TTL": "0"});
         };
-        *since = Instant::now();
-        json!({"ID": id.to_string(), "TTL": time.as_secs().to_string()})
+        *renewed = Instant::now();
+        json!({"ID": id.to_string(), "TTL": ttl.as_secs().to_string()})
     }
 
     fn end_lease(&mut self, id: i64) {
@@ -409,7 +411,7 @@
     }
 }
 
-fn within(key: &[u8], from: &[u8], to: &[u8]) -> bool {
+fn in_range(key: &[u8], from: &[u8], to: &[u8]) -> bool {
     if to.is_empty() { key == from } else { key >= from && key < to }
 }
 
@@ -440,14 +442,14 @@
     Response::new(body::full(value.to_string()))
 }
 
-fn refuse(status: StatusCode, why: &str) -> Response<Body> {
-    let mut res = answer(json!({"error": why, "code": 14}));
+fn refuse(status: StatusCode, reason: &str) -> Response<Body> {
+    let mut res = answer(json!({"error": reason, "code": 14}));
     *res.status_mut() = status;
     res
 }
 
-/// Breaks the connection in place of an answer.
-fn lost() -> Response<Body> {
+/// Returns a response that closes the connection instead of answering.
+fn lose_answer() -> Response<Body> {
     let broken = smol::stream::once(Err(BodyError::Broken("lost".to_string())));
     Response::new(StreamBody::new(broken).boxed_unsync())
 }
--- a/crates/testkit/src/ports.rs
+++ b/crates/testkit/src/ports.rs
@@ -1,59 +1,60 @@
-//! Addresses on loopback that nothing else takes.
+//! Loopback addresses and ports that no other process uses.
 
 use socket2::{Domain, Socket, Type};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_IP: AtomicU32 = AtomicU32::new(0);
 
-/// Returns an address of its own in 127.0.0.0/8.
+/// Returns an address in 127.0.0.0/8 that this process has not returned before.
 ///
-/// Outgoing connections leave from 127.0.0.1, so a port that the system handed
-/// out on another loopback address stays free until it is listened on.
+/// Outgoing connections use 127.0.0.1 as their source address, so they do not take a port
+/// that the system has assigned on another loopback address.
 pub fn unique_ip() -> IpAddr {
-    let n = NEXT.fetch_add(1, Ordering::Relaxed);
+    let n = NEXT_IP.fetch_add(1, Ordering::Relaxed);
     let pid = std::process::id();
     let b = 16 + (pid % 200) as u8;
     let c = ((pid / 200) % 200) as u8;
     IpAddr::V4(Ipv4Addr::new(127, b, c.wrapping_add((n / 250) as u8), (n % 250) as u8 + 2))
 }
 
-/// Keeps processes from being started while ports are looked for, and the reverse.
+/// Locks the start of processes against the search for free ports; callers hold the guard
+/// while they start a process.
 ///
-/// Failure: a process is started in the moment in which a UDP port is tried. Symptom:
-/// its copy of the socket lives until it has replaced itself, and the daemon finds its
-/// port in use and does not start. Whoever starts a process holds this meanwhile.
+/// A process that is started while [`free_addrs`] tries a UDP port inherits a copy of that
+/// socket, which stays open until the process calls `exec`. A daemon that binds the port in
+/// the meantime finds it in use and does not start.
 pub fn lock_process_starts() -> MutexGuard<'static, ()> {
-    static STARTING: Mutex<()> = Mutex::new(());
-    STARTING.lock().unwrap_or_else(PoisonError::into_inner)
+    static PROCESS_START: Mutex<()> = Mutex::new(());
+    PROCESS_START.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Returns different addresses, each free for TCP and UDP a moment ago.
+/// Returns `N` different addresses whose ports are free for TCP and UDP.
 ///
-/// All are held until the last is found: the system hands out a port again as
-/// soon as it is let go, and a daemon with one port for two uses does not start.
-/// They are held without listening. Failure: another test starts a process in
-/// this moment, whose copy of a listening socket lives until that process has
-/// replaced itself. Symptom: the daemon finds its port in use and does not start.
-/// A socket that was only bound does not keep the daemon from listening.
+/// All sockets stay bound until the last port is found: the system may assign a port again
+/// as soon as its socket is closed, and a daemon with the same port for two purposes does
+/// not start. The TCP sockets are bound but do not listen. A process that another test
+/// starts at this moment inherits a copy of the socket, which stays open until the process
+/// calls `exec`. A copy of a listening socket makes the daemon find its port in use and not
+/// start; a copy of a socket that is only bound does not keep the daemon from listening.
 ///
 /// # Panics
 ///
-/// Panics if the system has no free port, which no test can go on from.
+/// Panics if the system has no free port.
 pub fn free_addrs<const N: usize>(ip: IpAddr) -> [SocketAddr; N] {
-    let mut held = Vec::new();
-    let _no_process_starts = lock_process_starts();
-    while held.len() < N {
-        let (addr, tcp) = bind(ip).expect("the system has free ports");
+    let mut bound = Vec::new();
+    let _process_start_lock = lock_process_starts();
+    while bound.len() < N {
+        let (addr, tcp) = bind_tcp(ip).expect("the system has a free port");
         if UdpSocket::bind(addr).is_ok() {
-            held.push((addr, tcp));
+            bound.push((addr, tcp));
         }
     }
-    std::array::from_fn(|i| held[i].0)
+    std::array::from_fn(|i| bound[i].0)
 }
 
-fn bind(ip: IpAddr) -> std::io::Result<(SocketAddr, Socket)> {
+fn bind_tcp(ip: IpAddr) -> std::io::Result<(SocketAddr, Socket)> {
     let tcp = Socket::new(Domain::for_address(SocketAddr::new(ip, 0)), Type::STREAM, None)?;
     tcp.set_reuse_address(true)?;
     tcp.bind(&SocketAddr::new(ip, 0).into())?;
--- a/crates/testkit/src/upstream.rs
+++ b/crates/testkit/src/upstream.rs
@@ -1,5 +1,5 @@
-//! An upstream instance: slots, cold start, shedding, drain, deadlines,
-//! cancellation, and a count of every execution.
+//! A simulated upstream with slots, cold start, load shedding, drain and cancellation,
+//! which counts every execution.
 
 use bytes::Bytes;
 use cicadashift_http::body::{self, Body};
@@ -16,30 +16,31 @@
 use std::time::{Duration, Instant};
 
 /// Time between two reports to the daemon.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
-const CONTROL_TIME: Duration = Duration::from_secs(2);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How an upstream behaves.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// Its name, unique in the service.
+    /// Instance name, unique in the service.
     pub instance: String,
-    /// What it serves.
+    /// Name of the service.
     pub service: String,
-    /// Calls it runs at once; one more is shed as not run.
+    /// Number of calls that run concurrently; further calls are shed as not run.
     pub slots: u16,
-    /// Connections it takes.
+    /// Number of connections that it announces.
     pub connections: u16,
-    /// Time for a call.
+    /// Service time of a call.
     pub service_time: Duration,
-    /// Time during which it is cold, and how much slower it is then.
+    /// Duration of the cold start, and the factor on the service time during it.
     pub cold: Option<(Duration, f64)>,
-    /// Claims to be idle and ready whatever is true.
+    /// Whether reports always claim that the upstream is ready with no call in flight.
     pub claims_idle: bool,
 }
 
 impl Behaviour {
-    /// An ordinary instance of the brief's size.
+    /// Returns the behaviour of a default instance, with the slots and connections that the
+    /// requirements name.
     pub fn plain(service: &str, instance: &str) -> Behaviour {
         Behaviour {
             instance: instance.to_string(),
@@ -53,34 +54,34 @@
     }
 }
 
-/// Executions by request id, shared by all instances of an experiment.
+/// Number of executions by request id, shared by all instances of a test or measurement.
 #[derive(Clone, Default)]
 pub struct Ledger {
     runs: Arc<Mutex<HashMap<String, u32>>>,
 }
 
 impl Ledger {
-    /// Records that a request is being run.
+    /// Records an execution of a request.
     pub fn record_run(&self, id: &str) {
         *lock(&self.runs).entry(id.to_string()).or_default() += 1;
     }
 
-    /// Returns how often a request was run.
+    /// Returns the number of executions of a request.
     pub fn count(&self, id: &str) -> u32 {
         lock(&self.runs).get(id).copied().unwrap_or(0)
     }
 
-    /// Returns how many requests were run more than once.
+    /// Returns the number of requests that were executed more than once.
     pub fn duplicates(&self) -> usize {
         lock(&self.runs).values().filter(|count| **count > 1).count()
     }
 
-    /// Returns how many requests were run.
+    /// Returns the number of requests that were executed.
     pub fn len(&self) -> usize {
         lock(&self.runs).len()
     }
 
-    /// Returns whether none was run.
+    /// Returns whether no request was executed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -101,7 +102,7 @@
 
 /// A running upstream.
 pub struct Upstream {
-    /// Where it serves.
+    /// The listen address.
     pub addr: SocketAddr,
     shared: Arc<Shared>,
     daemon: SocketAddr,
@@ -110,8 +111,7 @@
 }
 
 impl Upstream {
-    /// Starts an instance on a port of the system's choice; it does not
-    /// announce itself yet.
+    /// Starts an instance on a free port, without announcing it to its daemon.
     ///
     /// # Panics
     ///
@@ -140,7 +140,7 @@
         let upstream =
             Upstream { addr, shared, daemon, pool: Pool::new(1), stop: Mutex::new(Some(stop)) };
         let upstream = Arc::new(upstream);
-        exec::spawn(report_for_ever(Arc::downgrade(&upstream))).detach();
+        exec::spawn(report_periodically(Arc::downgrade(&upstream))).detach();
         upstream
     }
 
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the daemon could not be told.
+    /// Returns an error if the daemon cannot be reached or does not accept the request.
     pub async fn announce(&self) -> Result<(), SendError> {
         let readiness = self.readiness();
         let (uri, body) = {
@@ -163,60 +163,60 @@
             });
             ("/v1/upstreams".to_string(), body)
         };
-        self.tell(Method::POST, &uri, &body).await
+        self.send_to_daemon(Method::POST, &uri, &body).await
     }
 
-    /// Says that it takes no more work; what runs is finished.
+    /// Reports to the daemon that the instance is draining. Running calls are completed.
     ///
     /// # Errors
     ///
-    /// Returns why the daemon could not be told.
+    /// Returns an error if the daemon cannot be reached or does not accept the request.
     pub async fn drain(&self) -> Result<(), SendError> {
         self.shared.draining.store(true, Ordering::SeqCst);
         self.report().await
     }
 
-    /// Says that it is gone.
+    /// Withdraws the instance from the daemon.
     ///
     /// # Errors
     ///
-    /// Returns why the daemon could not be told.
+    /// Returns an error if the daemon cannot be reached or does not accept the request.
     pub async fn leave(&self) -> Result<(), SendError> {
         let uri = format!("/v1/upstreams/{}", lock(&self.shared.behaviour).instance);
-        self.tell(Method::DELETE, &uri, &json!({})).await
+        self.send_to_daemon(Method::DELETE, &uri, &json!({})).await
     }
 
-    /// Stops listening without a word.
+    /// Stops listening without a report to the daemon.
     pub fn kill(&self) {
         lock(&self.stop).take();
     }
 
-    /// Stops or goes on answering; a frozen instance keeps its calls.
+    /// Stops or resumes answering. A frozen instance keeps its calls in flight.
     pub fn freeze(&self, frozen: bool) {
         self.shared.frozen.store(frozen, Ordering::SeqCst);
     }
 
-    /// Changes its behaviour.
+    /// Changes the behaviour.
     pub fn change(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut lock(&self.shared.behaviour));
     }
 
-    /// Returns how many calls it ran.
+    /// Returns the number of executed calls.
     pub fn executions(&self) -> u64 {
         self.shared.executions.load(Ordering::SeqCst)
     }
 
-    /// Returns how many calls were given up by the other side while running.
+    /// Returns the number of calls that were cancelled by the daemon during execution.
     pub fn cancelled(&self) -> u64 {
         self.shared.cancelled.load(Ordering::SeqCst)
     }
 
-    /// Returns the most calls it ever ran at once.
+    /// Returns the maximum number of calls that ran concurrently.
     pub fn max_running(&self) -> u32 {
         self.shared.max_running.load(Ordering::SeqCst)
     }
 
-    /// Returns when it last began a call.
+    /// Returns the start time of the last call.
     pub fn last_start(&self) -> Option<Instant> {
         *lock(&self.shared.last_start)
     }
@@ -227,7 +227,7 @@
         let in_flight = if lies { 0 } else { self.shared.running.load(Ordering::SeqCst) };
         let uri = format!("/v1/upstreams/{}/report", lock(&self.shared.behaviour).instance);
         let body = json!({"readiness": readiness, "in_flight": in_flight});
-        self.tell(Method::POST, &uri, &body).await
+        self.send_to_daemon(Method::POST, &uri, &body).await
     }
 
     fn readiness(&self) -> &'static str {
@@ -241,7 +241,7 @@
         }
     }
 
-    async fn tell(
+    async fn send_to_daemon(
         &self,
         method: Method,
         uri: &str,
@@ -253,17 +253,17 @@
             .header("host", "daemon")
             .body(body::full(body.to_string()))
             .map_err(|err| SendError::Broken(err.to_string()))?;
-        let res = self.pool.exchange(self.daemon, req, 1 << 16, CONTROL_TIME).await?;
+        let res = self.pool.exchange(self.daemon, req, 1 << 16, CONTROL_TIMEOUT).await?;
         match res.status().is_success() {
             true => Ok(()),
-            false => Err(SendError::Broken(format!("daemon said {}", res.status()))),
+            false => Err(SendError::Broken(format!("daemon answered {}", res.status()))),
         }
     }
 }
 
-async fn report_for_ever(upstream: std::sync::Weak<Upstream>) {
+async fn report_periodically(upstream: std::sync::Weak<Upstream>) {
     loop {
-        smol::Timer::after(REPORT_EVERY).await;
+        smol::Timer::after(REPORT_INTERVAL).await;
         let Some(upstream) = upstream.upgrade() else { return };
         if lock(&upstream.stop).is_none() {
             return;
@@ -272,15 +272,16 @@
             continue;
         }
         if upstream.report().await.is_err() {
-            // The daemon restarted and knows nothing of its upstream.
+            // The daemon has restarted and has no record of this upstream.
             let _retried = upstream.announce().await;
         }
     }
 }
 
-struct Running(Arc<Shared>, bool);
+/// Guard of a call. Dropping it counts the call as cancelled unless the flag is set.
+struct RunningCall(Arc<Shared>, bool);
 
-impl Drop for Running {
+impl Drop for RunningCall {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::SeqCst);
         if !self.1 {
@@ -292,16 +293,17 @@
 async fn handle(shared: Arc<Shared>, req: Request<Body>) -> Response<Body> {
     let behaviour = lock(&shared.behaviour).clone();
     let running = shared.running.fetch_add(1, Ordering::SeqCst) + 1;
-    let mut guard = Running(shared.clone(), true);
+    let mut guard = RunningCall(shared.clone(), true);
     if running > u32::from(behaviour.slots) {
         let mut res = Response::new(body::full("shed"));
         *res.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-        res.headers_mut().insert("cicadashift-outcome", "not-run".parse().expect("ascii"));
+        res.headers_mut()
+            .insert("cicadashift-outcome", "not-run".parse().expect("the value is ASCII"));
         return res;
     }
     guard.1 = false;
     shared.max_running.fetch_max(running, Ordering::SeqCst);
-    let (head, sent) = req.into_parts();
+    let (head, incoming) = req.into_parts();
     let header = |name: &str| {
         head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_string()
     };
@@ -316,27 +318,27 @@
         .and_then(|query| query.strip_prefix("size="))
         .and_then(|size| size.parse().ok())
         .unwrap_or(0);
-    let sent = body::read(sent, 64 << 20).await.unwrap_or_default();
-    smol::Timer::after(work_time(&shared, &behaviour)).await;
+    let body = body::read(incoming, 64 << 20).await.unwrap_or_default();
+    smol::Timer::after(current_service_time(&shared, &behaviour)).await;
     while shared.frozen.load(Ordering::SeqCst) {
         smol::Timer::after(Duration::from_millis(20)).await;
     }
     guard.1 = true;
     let body = match (echo, size) {
-        (true, _) => body::full(sent),
+        (true, _) => body::full(body),
         (false, 0) => body::full(format!("{} {id}", behaviour.instance)),
         (false, size) => body::full(Bytes::from(vec![b'x'; size])),
     };
     let mut res = Response::new(body);
     let headers = res.headers_mut();
-    headers.insert("x-instance", behaviour.instance.parse().expect("names are ascii"));
+    headers.insert("x-instance", behaviour.instance.parse().expect("instance names are ASCII"));
     if let Ok(id) = id.parse() {
         headers.insert("x-request", id);
     }
     res
 }
 
-fn work_time(shared: &Shared, behaviour: &Behaviour) -> Duration {
+fn current_service_time(shared: &Shared, behaviour: &Behaviour) -> Duration {
     match behaviour.cold {
         Some((time, factor)) if shared.started.elapsed() < time => {
             behaviour.service_time.mul_f64(factor)
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,12 +1,12 @@
-//! The whole system on one machine in half a minute.
+//! Runs the complete system on one machine in half a minute.
 //!
-//! Starts the stand-in platform, three failure domains of daemons and upstreams
-//! on loopback, accepts a configuration through the client's own code, serves
-//! real calls from each domain, changes the configuration under load, and says
-//! what happened. `--stay` keeps it up for trying things by hand.
+//! Starts a simulated platform and three failure domains of daemons and upstreams on
+//! loopback, accepts a configuration with the code of the command-line client, sends calls
+//! in each domain, changes the configuration under load, and prints the results. With
+//! `--stay`, the system keeps running for manual tests.
 //!
-//! The daemons are this same program started again, so that one command builds
-//! all that is needed.
+//! The daemons are started from the same executable, so that a single command builds
+//! everything.
 
 use cicadashift_http::exec;
 use cicadashift_testkit::caller::{CallOutcome, Caller};
@@ -21,8 +21,8 @@
 const DOMAINS: [&str; 3] = ["santander", "bilbao", "oviedo"];
 const PER_DOMAIN: usize = 3;
 const LOAD_TIME: Duration = Duration::from_secs(4);
-/// Between two calls of one caller; three callers make about 300 calls a second.
-const CALL_EVERY: Duration = Duration::from_millis(10);
+/// Pause between two calls of a caller; three callers send about 300 calls a second.
+const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
 const CONFIG: &str = r#"{
   "id": "notices",
@@ -32,7 +32,7 @@
     {"prefix": "/notices", "methods": ["POST"], "service": "notice", "priority": "high"}
   ]
 }"#;
-const CHANGED: &str = r#"{
+const CHANGED_CONFIG: &str = r#"{
   "id": "notices",
   "labels": {"app": "notices"},
   "routes": [
@@ -48,16 +48,16 @@
         std::process::exit(cicadashift::cli::run(args));
     }
     let stay = args.iter().any(|arg| arg == "--stay");
-    let done = exec::run(2, quickstart(stay));
-    std::process::exit(if done { 0 } else { 1 });
+    let passed = exec::run(2, quickstart(stay));
+    std::process::exit(if passed { 0 } else { 1 });
 }
 
 async fn quickstart(stay: bool) -> bool {
-    let program = std::env::current_exe().expect("this program has a path");
+    let program = std::env::current_exe().expect("the path of the executable is available");
     let mut spec = Spec::small(program, &DOMAINS, PER_DOMAIN);
     spec.delay = Duration::from_micros(1500);
-    let mesh = Mesh::start(spec, |node| {
-        Some(Behaviour::plain("notice", &format!("notice-{}", node.name)))
+    let mesh = Mesh::start(spec, |daemon| {
+        Some(Behaviour::plain("notice", &format!("notice-{}", daemon.name)))
     })
     .await;
     let fleet = &mesh.fleet;
@@ -67,71 +67,72 @@
     let (version, took) = mesh.roll_out(CONFIG).await;
     println!("version {version} is in force everywhere {} ms after acceptance", took.as_millis());
 
-    let tally = Arc::new(Tally::default());
+    let counters = Arc::new(Counters::default());
     let callers: Vec<_> = DOMAINS
         .iter()
         .map(|domain| {
-            let node = &fleet.daemons[fleet.in_domain(domain)[0]];
-            let (tally, caller) = (tally.clone(), Caller::new(node.callers));
+            let daemon = &fleet.daemons[fleet.in_domain(domain)[0]];
+            let (counters, caller) = (counters.clone(), Caller::new(daemon.callers));
             let domain = domain.to_string();
-            exec::spawn(async move { load(&domain, caller, tally).await })
+            exec::spawn(async move { send_calls(&domain, caller, counters).await })
         })
         .collect();
     smol::Timer::after(LOAD_TIME / 2).await;
-    let (version, took) = mesh.roll_out(CHANGED).await;
+    let (version, took) = mesh.roll_out(CHANGED_CONFIG).await;
     println!("version {version} came into force under load after {} ms", took.as_millis());
     smol::Timer::after(LOAD_TIME / 2).await;
-    tally.stop.store(true, Ordering::Relaxed);
+    counters.stop.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await;
     }
-    let (sent, lost) = (tally.sent.load(Ordering::Relaxed), tally.lost.load(Ordering::Relaxed));
-    let refused = tally.refused.load(Ordering::Relaxed);
-    let doubled = mesh.ledger.duplicates();
-    println!("{sent} calls from all domains: {refused} refused, {lost} lost, {doubled} doubled");
+    let (sent, lost) =
+        (counters.sent.load(Ordering::Relaxed), counters.lost.load(Ordering::Relaxed));
+    let refused = counters.refused.load(Ordering::Relaxed);
+    let duplicates = mesh.ledger.duplicates();
+    println!("{sent} calls from all domains: {refused} refused, {lost} lost, {duplicates} doubled");
     println!("the platform was called {} times in all", mesh.platform.counts().calls());
-    by_hand(fleet, &mesh.platform);
+    print_commands(fleet, &mesh.platform);
     if stay {
         println!("staying up; end it with Ctrl-C");
         std::future::pending::<()>().await;
     }
-    lost == 0 && doubled == 0 && sent > 0
+    lost == 0 && duplicates == 0 && sent > 0
 }
 
 #[derive(Default)]
-struct Tally {
+struct Counters {
     stop: AtomicBool,
     sent: AtomicU64,
     refused: AtomicU64,
     lost: AtomicU64,
 }
 
-async fn load(domain: &str, caller: Caller, tally: Arc<Tally>) {
+async fn send_calls(domain: &str, caller: Caller, counters: Arc<Counters>) {
     let mut n = 0;
-    while !tally.stop.load(Ordering::Relaxed) {
+    while !counters.stop.load(Ordering::Relaxed) {
         n += 1;
         let id = format!("{domain}-{n}");
         let method = if n % 4 == 0 { "POST" } else { "GET" };
         let call = caller.call(method, "/notices/today", &id, b"").await;
-        tally.sent.fetch_add(1, Ordering::Relaxed);
+        counters.sent.fetch_add(1, Ordering::Relaxed);
         match call.outcome {
             CallOutcome::Answer { request, .. } if request == id => {}
             CallOutcome::NotRun { .. } => {
-                tally.refused.fetch_add(1, Ordering::Relaxed);
+                counters.refused.fetch_add(1, Ordering::Relaxed);
             }
             other => {
                 println!("call {id}: {other:?}");
-                tally.lost.fetch_add(1, Ordering::Relaxed);
+                counters.lost.fetch_add(1, Ordering::Relaxed);
             }
         }
-        smol::Timer::after(CALL_EVERY).await;
+        smol::Timer::after(CALL_INTERVAL).await;
     }
 }
 
-fn by_hand(fleet: &Fleet, platform: &Platform) {
-    let node = &fleet.daemons[0];
+fn print_commands(fleet: &Fleet, platform: &Platform) {
+    let daemon = &fleet.daemons[0];
     println!("\nby hand, while it runs with --stay:");
-    println!("  curl -i http://{}/notices/today", node.callers);
-    println!("  cargo run --release -- status --daemon {}", node.upstreams);
+    println!("  curl -i http://{}/notices/today", daemon.callers);
+    println!("  cargo run --release -- status --daemon {}", daemon.upstreams);
     println!("  cargo run --release -- config list --platform {}", platform.addr);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests with real processes share.
+//! Helpers shared by the tests with real processes.
 #![allow(dead_code)]
 
 use cicadashift_http::exec;
@@ -9,22 +9,22 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Runs an asynchronous test.
+/// Runs an asynchronous test on two threads.
 pub fn run(test: impl Future<Output = ()>) {
     exec::run(2, test);
 }
 
-/// A small fleet of the built binary.
+/// Returns the parameters of a small fleet of the built binary.
 pub fn spec(domains: &[&str], per_domain: usize) -> Spec {
     Spec::small(PathBuf::from(env!("CARGO_BIN_EXE_cicadashift")), domains, per_domain)
 }
 
-/// A caller connected to a daemon.
+/// Returns a caller of the daemon at index `i`.
 pub fn caller(mesh: &Mesh, i: usize) -> Caller {
     Caller::new(mesh.fleet.daemons[i].callers)
 }
 
-/// Calls until a condition holds on what comes back.
+/// Repeats a call until a condition holds for its outcome, and returns this outcome.
 pub async fn call_until(
     caller: &Caller,
     id: &str,
@@ -34,16 +34,19 @@
     let mut n = 0;
     loop {
         n += 1;
-        let got = caller.call("GET", "/notices", &format!("{id}-{n}"), b"").await.outcome;
-        if holds(&got) {
-            return got;
+        let outcome = caller.call("GET", "/notices", &format!("{id}-{n}"), b"").await.outcome;
+        if holds(&outcome) {
+            return outcome;
         }
-        assert!(Instant::now() < until, "it comes to hold; last was {got:?}");
+        assert!(
+            Instant::now() < until,
+            "the expected outcome does not occur; the last one was {outcome:?}"
+        );
         smol::Timer::after(Duration::from_millis(50)).await;
     }
 }
 
-/// Whether a call was answered by an upstream.
-pub fn is_answer(got: &CallOutcome) -> bool {
-    matches!(got, CallOutcome::Answer { .. })
+/// Returns whether an upstream answered the call.
+pub fn is_answer(outcome: &CallOutcome) -> bool {
+    matches!(outcome, CallOutcome::Answer { .. })
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,9 +1,8 @@
-//! A randomized soak: real daemons, faults from outside, and promises checked
-//! from what callers and instances see.
+//! A randomized soak test, which injects faults into real daemons and checks the guarantees
+//! of the mesh from the observations of callers and instances.
 //!
-//! A seed decides what goes wrong and when. `SOAK_SEEDS=1..50 SOAK_SECONDS=8`
-//! runs more than the short series of CI; each seed that ever failed stands in
-//! [`REGRESSIONS`] with its cause.
+//! The seed determines the faults and their times. `SOAK_SEEDS=1..50 SOAK_SECONDS=8` runs
+//! more seeds than CI does. [`REGRESSIONS`] lists each seed that has failed, with the cause.
 
 mod common;
 
@@ -19,39 +18,43 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Daemons of one run.
+/// Number of daemons in one run.
 const DAEMONS: usize = 4;
-/// Callers of one run; half of them send what may not be repeated.
+/// Number of callers in one run; half of them send non-idempotent requests.
 const CALLERS: usize = 8;
-/// Seeds that CI runs, and for how long each.
+/// Seeds that CI runs, and the seconds for each.
 const CI_SEEDS: std::ops::Range<u64> = 1..4;
 const CI_SECONDS: u64 = 8;
-/// Seeds that failed once, with the cause.
+/// Seeds that have failed, with the cause.
 const REGRESSIONS: [(u64, &str); 0] = [];
-/// First start that an instance tells, in Unix milliseconds.
+/// Lower bound of the start times that restarted instances report, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_771_000_000_000;
-/// How long the store is away before it comes back from a copy.
-const AWAY: Duration = Duration::from_millis(300);
-/// Time in which everything is well again after the last fault.
-const RECOVERY: Duration = Duration::from_secs(15);
-/// What is asked for, at each daemon in turn, and ends the instance that runs it.
-const GUILTY_PATH: &str = "/notices/guilty";
+/// Duration of the store outage before a restore from a copy, and of a restart of an instance.
+const OUTAGE_TIME: Duration = Duration::from_millis(300);
+/// Maximum time until all daemons serve again after the last fault.
+const RECOVERY_TIME: Duration = Duration::from_secs(15);
+/// Path of the request that crashes the instance that executes it; sent to each daemon in
+/// turn.
+const FATAL_REQUEST_PATH: &str = "/notices/guilty";
 /// Pause between two such requests.
-const GUILTY_EVERY: Duration = Duration::from_millis(120);
-/// Instances that it may end before it must be known, and most runs of it after that.
-const GUILTY_FREE: usize = 3;
-/// Limits that instances name.
+const FATAL_REQUEST_INTERVAL: Duration = Duration::from_millis(120);
+/// Number of executions after which the daemons must recognise the request, and maximum
+/// number of executions from [`PROPAGATION_TIME`] after that.
+const MAX_FATAL_RUNS: usize = 3;
+/// Limits that instances name, in requests per second.
 const LIMITS: [&str; 4] = ["0.25", "1", "4.2", "20"];
-/// Span in which the requests to an instance that names a limit are counted.
+/// Sliding window over which the requests to an instance that names a limit are counted.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
-/// Time after which a limit must be kept, and after which a daemon that passed on an
-/// answer with it is bound by it.
-const LIMIT_KEPT_AFTER: Duration = Duration::from_secs(3);
-const LIMIT_TOLD_AFTER: Duration = Duration::from_millis(500);
-/// Time after which every daemon that nothing was done to must know it.
-const IN_TOUCH: Duration = Duration::from_secs(3);
+/// Time after the first request to an instance that names a limit, after which all daemons
+/// must keep to the limit.
+const LIMIT_CHECKED_AFTER: Duration = Duration::from_secs(3);
+/// Time after that request, after which a daemon that has forwarded an answer with the limit
+/// must keep to it. Earlier requests are not counted.
+const LIMIT_COUNTED_AFTER: Duration = Duration::from_millis(500);
+/// Time within which every undisturbed daemon must have received an update.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// A small generator, so that one seed gives one series of faults.
+/// A pseudo-random generator, so that a seed gives the same series of faults.
 struct Random(u64);
 
 impl Random {
@@ -62,18 +65,18 @@
     }
 }
 
-/// A limit that an instance named, and until when.
-struct Named {
+/// A period in which an instance named a limit.
+struct LimitSpan {
     i: usize,
     per_s: f64,
     from: Instant,
     until: Option<Instant>,
 }
 
-/// Limits that instances named in a run.
+/// The limits that instances named in a run.
 #[derive(Default)]
 struct Limits {
-    spans: Vec<Named>,
+    spans: Vec<LimitSpan>,
 }
 
 impl Limits {
@@ -83,11 +86,11 @@
         let open = self.spans.iter_mut().filter(|span| span.i == i && span.until.is_none());
         open.for_each(|span| span.until = Some(now));
         let per_s = text.and_then(|text| text.parse().ok());
-        self.spans.extend(per_s.map(|per_s| Named { i, per_s, from: now, until: None }));
+        self.spans.extend(per_s.map(|per_s| LimitSpan { i, per_s, from: now, until: None }));
     }
 }
 
-/// Whoever changes the configuration and keeps the store.
+/// The operator, who writes configurations and restores the store.
 struct Operator {
     version: u64,
     copy: Option<StoreCopy>,
@@ -98,43 +101,45 @@
         fleet.put_config(self.version, &["/notices/", "/lift/"]);
     }
 
-    /// Lets the store go away and come back from its last copy, if there is one.
-    async fn go_back(&mut self, fleet: &HostedFleet) -> String {
-        let Some(copy) = self.copy.take() else { return "no copy to go back to".to_string() };
+    /// Stops the store and restores it from the last copy, if there is one.
+    async fn restore_store(&mut self, fleet: &HostedFleet) -> String {
+        let Some(copy) = self.copy.take() else {
+            return "no copy of the store to restore".to_string();
+        };
         fleet.store.change_faults(|faults| faults.down = Some(Outage::Busy));
-        smol::Timer::after(AWAY).await;
+        smol::Timer::after(OUTAGE_TIME).await;
         fleet.store.restore(copy);
         fleet.store.change_faults(|faults| faults.down = None);
-        "store came back from a copy".to_string()
+        "store restored from a copy".to_string()
     }
 }
 
-/// When something was done to each daemon, and until when it lasted.
+/// The periods in which faults were injected into each daemon.
 #[derive(Default)]
-struct Disturbed {
+struct Disturbances {
     spans: Vec<(usize, Instant, Option<Instant>)>,
     stopped: BTreeSet<usize>,
 }
 
-impl Disturbed {
-    /// Takes in that something begins which lasts.
+impl Disturbances {
+    /// Records the start of a lasting fault.
     fn begin(&mut self, i: usize) {
         self.spans.push((i, Instant::now(), None));
     }
 
-    /// Takes in that something was done in this moment.
+    /// Records a momentary fault.
     fn once(&mut self, i: usize) {
         self.spans.push((i, Instant::now(), Some(Instant::now())));
     }
 
-    /// Takes in that a daemon is told to stop: it is started again when all is mended.
-    fn end(&mut self, i: usize) {
+    /// Records that a daemon is told to stop. It is restarted only after the last fault.
+    fn stop(&mut self, i: usize) {
         self.stopped.insert(i);
         self.begin(i);
     }
 
-    /// Takes in that a frozen daemon goes on.
-    fn wake(&mut self, i: usize) {
+    /// Records that a frozen daemon resumes.
+    fn resume(&mut self, i: usize) {
         for (daemon, _, until) in &mut self.spans {
             if *daemon == i && until.is_none() && !self.stopped.contains(&i) {
                 *until = Some(Instant::now());
@@ -142,34 +147,33 @@
         }
     }
 
-    /// Returns whether nothing was done to a daemon for a while before a moment.
-    fn in_touch(&self, i: usize, at: Instant) -> bool {
-        self.spans
-            .iter()
-            .filter(|(daemon, _, _)| *daemon == i)
-            .all(|(_, from, until)| at < *from || until.is_some_and(|until| at > until + IN_TOUCH))
+    /// Returns whether a daemon was undisturbed at a time, and for [`PROPAGATION_TIME`] before.
+    fn undisturbed(&self, i: usize, at: Instant) -> bool {
+        self.spans.iter().filter(|(daemon, _, _)| *daemon == i).all(|(_, from, until)| {
+            at < *from || until.is_some_and(|until| at > until + PROPAGATION_TIME)
+        })
     }
 }
 
-/// What callers were told, by request id.
-type Told = Arc<Mutex<BTreeMap<String, Outcome>>>;
+/// Outcomes for the callers, by request id.
+type Outcomes = Arc<Mutex<BTreeMap<String, Outcome>>>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Answered,
     NotRun,
-    Open,
-    Foreign,
+    Unknown,
+    WrongAnswer,
 }
 
 #[test]
-fn the_promises_hold_whatever_goes_wrong() {
-    // Callers send lookups and notices all the while; daemons are killed, frozen,
-    // stopped and reloaded, instances drain, fall silent and answer for others,
-    // the store is away and comes back from a copy. No notice runs twice, none runs that was refused, no
-    // answer is another's, and after the last fault all is served again. One caller asks
-    // all the while for what ends instances; daemons that nothing is done to stop sending
-    // it on.
+fn guarantees_hold_under_random_faults() {
+    // Callers send idempotent and non-idempotent requests throughout the run. Daemons are
+    // killed, frozen, stopped and reloaded; instances crash, leave, do not answer, or answer
+    // with the id of another request; the store fails and is restored from a copy. No
+    // non-idempotent request may run twice or after a refusal, no caller may get the answer
+    // to another request, and all daemons must serve again after the last fault. One caller
+    // repeats a request that crashes instances: undisturbed daemons must stop forwarding it.
     let seeds = std::env::var("SOAK_SEEDS").ok().and_then(|text| parse(&text));
     let seconds = std::env::var("SOAK_SECONDS").ok().and_then(|text| text.parse().ok());
     let regressions = REGRESSIONS.iter().map(|(seed, _)| *seed);
@@ -189,58 +193,66 @@
     let mut fleet = HostedFleet::serving(program, DAEMONS).await;
     fleet.put_config(2, &["/notices/", "/lift/"]);
     for i in 0..DAEMONS {
-        let known = async |fleet: &HostedFleet| fleet.status(i, "/lift/0", "k").await == Some(200);
-        assert!(fleet.wait(known).await, "seed {seed}: daemon {i} serves the first version");
+        let is_served =
+            async |fleet: &HostedFleet| fleet.status(i, "/lift/0", "k").await == Some(200);
+        assert!(fleet.wait(is_served).await, "seed {seed}: daemon {i} serves the first version");
     }
-    let told = Told::default();
+    let outcomes = Outcomes::default();
     let stop = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..CALLERS)
-        .map(|n| exec::spawn(call(seed, n, fleet.caller(n % DAEMONS), told.clone(), stop.clone())))
+        .map(|n| {
+            exec::spawn(call(seed, n, fleet.caller(n % DAEMONS), outcomes.clone(), stop.clone()))
+        })
         .collect();
-    let guilty = exec::spawn(call_guilty((0..DAEMONS).map(|i| fleet.caller(i)).collect()));
+    let fatal_caller = exec::spawn(call_fatal((0..DAEMONS).map(|i| fleet.caller(i)).collect()));
     let mut random = Random(seed);
-    let mut story = Vec::new();
+    let mut fault_log = Vec::new();
     let mut operator = Operator { version: 2, copy: None };
-    let mut disturbed = Disturbed::default();
+    let mut disturbances = Disturbances::default();
     let mut limits = Limits::default();
     let until = Instant::now() + time;
     while Instant::now() < until {
-        story
-            .push(fault(&mut fleet, &mut random, &mut operator, &mut disturbed, &mut limits).await);
+        fault_log.push(
+            inject_fault(&mut fleet, &mut random, &mut operator, &mut disturbances, &mut limits)
+                .await,
+        );
         smol::Timer::after(Duration::from_millis(100 + random.below(500))).await;
     }
-    guilty.cancel().await;
-    check_guilty(seed, &fleet, &disturbed, &story);
-    check_limits(seed, &fleet, &limits, &disturbed, &story);
-    mend(&mut fleet).await;
-    let mended = Instant::now();
+    fatal_caller.cancel().await;
+    check_fatal_runs(seed, &fleet, &disturbances, &fault_log);
+    check_limits(seed, &fleet, &limits, &disturbances, &fault_log);
+    end_faults(&mut fleet).await;
+    let faults_ended = Instant::now();
     for i in 0..DAEMONS {
         let mut n = 0;
         let served = async |fleet: &HostedFleet| {
             fleet.status(i, "/notices/1", &format!("end-{seed}-{i}")).await == Some(200)
         };
-        while !served(&fleet).await && mended.elapsed() < RECOVERY {
+        while !served(&fleet).await && faults_ended.elapsed() < RECOVERY_TIME {
             n += 1;
             smol::Timer::after(Duration::from_millis(50)).await;
         }
         let log = fleet.log(i);
         let tail: Vec<&str> = log.lines().rev().take(8).collect();
-        let late = mended.elapsed() < RECOVERY;
-        assert!(late, "seed {seed}: daemon {i} is not well after {n} tries: {story:?} {tail:#?}");
+        let in_time = faults_ended.elapsed() < RECOVERY_TIME;
+        assert!(
+            in_time,
+            "seed {seed}: daemon {i} does not serve after {n} tries: {fault_log:?} {tail:#?}"
+        );
     }
     stop.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await;
     }
-    check(seed, &fleet, &told, &story);
+    check_outcomes(seed, &fleet, &outcomes, &fault_log);
 }
 
-/// Sends requests one after the other until told to stop.
+/// Sends requests one after the other until `stop` is set.
 async fn call(
     seed: u64,
     n: usize,
     caller: cicadashift_testkit::hosted::fleet::HostedCaller,
-    told: Told,
+    outcomes: Outcomes,
     stop: Arc<AtomicBool>,
 ) {
     let (method, path) = match n % 2 {
@@ -252,61 +264,66 @@
         i += 1;
         let id = format!("{path}-{seed}-{n}-{i}");
         let outcome = match caller.call(method.clone(), path, &id).await {
-            None => Outcome::Open,
+            None => Outcome::Unknown,
             Some(res) => match res.status().as_u16() {
                 200 if res.body().contains(&format!(" {id} ")) => Outcome::Answered,
-                200 => Outcome::Foreign,
+                200 => Outcome::WrongAnswer,
                 429 | 503 => Outcome::NotRun,
-                _ => Outcome::Open,
+                _ => Outcome::Unknown,
             },
         };
-        told.lock().expect("no caller panics").insert(id, outcome);
+        outcomes.lock().expect("no caller panics").insert(id, outcome);
         smol::Timer::after(Duration::from_millis(5)).await;
     }
 }
 
-/// Asks for what ends instances at each daemon in turn, for ever.
-async fn call_guilty(callers: Vec<cicadashift_testkit::hosted::fleet::HostedCaller>) {
+/// Sends the request that crashes instances to each daemon in turn, until cancelled.
+async fn call_fatal(callers: Vec<cicadashift_testkit::hosted::fleet::HostedCaller>) {
     let mut n = 0;
     loop {
         let i = n % callers.len();
         let id = format!("{i} guilty {n}");
-        // A daemon that is frozen or gone must not hold the others up.
-        let call = callers[i].call(Method::GET, GUILTY_PATH, &id);
-        let _whatever = exec::timeout(Duration::from_millis(800), call).await;
+        // The timeout keeps a frozen or stopped daemon from delaying the requests to the others.
+        let call = callers[i].call(Method::GET, FATAL_REQUEST_PATH, &id);
+        let _any_outcome = exec::timeout(Duration::from_millis(800), call).await;
         n += 1;
-        smol::Timer::after(GUILTY_EVERY).await;
+        smol::Timer::after(FATAL_REQUEST_INTERVAL).await;
     }
 }
 
-/// Checks that daemons to which nothing was done stopped sending on what ends instances.
-fn check_guilty(seed: u64, fleet: &HostedFleet, disturbed: &Disturbed, story: &[String]) {
+/// Checks that undisturbed daemons stopped forwarding the request that crashes instances.
+fn check_fatal_runs(
+    seed: u64,
+    fleet: &HostedFleet,
+    disturbances: &Disturbances,
+    fault_log: &[String],
+) {
     let mut runs = Vec::new();
-    for (exit, node) in fleet.daemons.iter().enumerate() {
-        runs.extend(node.instance.fatal_runs().into_iter().map(|run| (exit, run)));
+    for (exit, daemon) in fleet.daemons.iter().enumerate() {
+        runs.extend(daemon.instance.fatal_runs().into_iter().map(|run| (exit, run)));
     }
     runs.sort_by_key(|(_, run)| run.at);
-    eprintln!("seed {seed}: {} runs of what ends instances", runs.len());
-    let Some(third) = runs.get(GUILTY_FREE - 1).map(|(_, run)| run.at) else { return };
+    eprintln!("seed {seed}: {} runs of the request that crashes instances", runs.len());
+    let Some(third) = runs.get(MAX_FATAL_RUNS - 1).map(|(_, run)| run.at) else { return };
     let late: Vec<_> = runs
         .iter()
-        .filter(|(_, run)| run.at > third + IN_TOUCH)
+        .filter(|(_, run)| run.at > third + PROPAGATION_TIME)
         .filter(|(exit, run)| {
             let entry = run.id.split(' ').next().and_then(|i| i.parse().ok()).unwrap_or(*exit);
-            disturbed.in_touch(entry, run.at) && disturbed.in_touch(*exit, run.at)
+            disturbances.undisturbed(entry, run.at) && disturbances.undisturbed(*exit, run.at)
         })
         .collect();
-    assert!(late.len() <= GUILTY_FREE, "seed {seed}: {late:#?} after {story:?}");
+    assert!(late.len() <= MAX_FATAL_RUNS, "seed {seed}: {late:#?} after {fault_log:?}");
 }
 
-/// Checks that instances got no more than the limits that they named, of what began at
-/// daemons to which nothing was done.
+/// Checks that the requests that undisturbed daemons received from callers did not exceed
+/// the limits that instances named.
 fn check_limits(
     seed: u64,
     fleet: &HostedFleet,
     limits: &Limits,
-    disturbed: &Disturbed,
-    story: &[String],
+    disturbances: &Disturbances,
+    fault_log: &[String],
 ) {
     let mut checked = 0;
     for span in &limits.spans {
@@ -319,18 +336,18 @@
             let mut own = own.iter().filter(|arrival| arrival.instance == *name).peekable();
             let Some(first) = own.peek().map(|arrival| arrival.at) else { continue };
             let counted: Vec<Instant> = own
-                .filter(|arrival| arrival.at > first + LIMIT_TOLD_AFTER)
-                .filter(|arrival| disturbed.in_touch(entry_of(&arrival.id), arrival.at))
+                .filter(|arrival| arrival.at > first + LIMIT_COUNTED_AFTER)
+                .filter(|arrival| disturbances.undisturbed(entry_of(&arrival.id), arrival.at))
                 .map(|arrival| arrival.at)
                 .collect();
             let allowed = 1.5 * span.per_s * LIMIT_WINDOW.as_secs_f64() + 5.0;
-            for end in counted.iter().filter(|at| **at >= first + LIMIT_KEPT_AFTER) {
+            for end in counted.iter().filter(|at| **at >= first + LIMIT_CHECKED_AFTER) {
                 let in_window = |at: &&Instant| **at <= *end && **at + LIMIT_WINDOW > *end;
                 let got = counted.iter().filter(in_window).count();
                 checked += 1;
                 assert!(
                     got as f64 <= allowed,
-                    "seed {seed}: {name} got {got} at {} a second: {story:?}",
+                    "seed {seed}: {name} got {got} at {} a second: {fault_log:?}",
                     span.per_s
                 );
             }
@@ -339,45 +356,45 @@
     eprintln!("seed {seed}: {} limits named, {checked} windows", limits.spans.len());
 }
 
-/// Returns the daemon at which a request began, by its id.
+/// Returns the index of the entry daemon of a request, from the request id.
 fn entry_of(id: &str) -> usize {
     let caller = id.rsplit('-').nth(1).and_then(|n| n.parse::<usize>().ok());
-    let guilty = id.split(' ').next().and_then(|n| n.parse().ok());
-    caller.or(guilty).map_or(0, |n| n % DAEMONS)
+    let fatal = id.split(' ').next().and_then(|n| n.parse().ok());
+    caller.or(fatal).map_or(0, |n| n % DAEMONS)
 }
 
-/// Makes one thing go wrong, or well again; says what.
-async fn fault(
+/// Injects or ends one random fault. Returns its description.
+async fn inject_fault(
     fleet: &mut HostedFleet,
     random: &mut Random,
     operator: &mut Operator,
-    disturbed: &mut Disturbed,
+    disturbances: &mut Disturbances,
     limits: &mut Limits,
 ) -> String {
     let i = random.below(DAEMONS as u64) as usize;
     match random.below(20) {
         0 => {
-            disturbed.once(i);
+            disturbances.once(i);
             fleet.kill(i);
             fleet.restart(i);
             format!("{i} killed")
         }
         1 => {
             fleet.signal(i, "-STOP");
-            disturbed.begin(i);
+            disturbances.begin(i);
             format!("{i} frozen")
         }
         2 | 3 => {
             (0..DAEMONS).for_each(|i| {
                 fleet.signal(i, "-CONT");
-                disturbed.wake(i);
+                disturbances.resume(i);
             });
-            "all wake".to_string()
+            "all daemons resumed".to_string()
         }
         4 => {
             fleet.signal(i, "-CONT");
             fleet.signal(i, "-TERM");
-            disturbed.end(i);
+            disturbances.stop(i);
             format!("{i} told to stop")
         }
         5 => {
@@ -391,12 +408,12 @@
         }
         7 => {
             fleet.store.change_faults(|faults| faults.down = None);
-            "store back".to_string()
+            "store available again".to_string()
         }
         8 => {
             fleet.store.expire_all_leases();
             fleet.store.drop_history();
-            "leases and history gone".to_string()
+            "leases and history lost".to_string()
         }
         9 => {
             let cut = random.below(2) == 0;
@@ -404,45 +421,45 @@
             format!("{i} cut from the store: {cut}")
         }
         10 => {
-            let manners = [
+            let modes = [
                 AnswerMode::Silent,
                 AnswerMode::WrongId,
                 AnswerMode::Failing,
                 AnswerMode::Shedding,
             ];
-            let manner = manners[random.below(4) as usize];
-            fleet.daemons[i].instance.set_answer_mode(manner);
-            format!("instance {i} {manner:?}")
+            let mode = modes[random.below(4) as usize];
+            fleet.daemons[i].instance.set_answer_mode(mode);
+            format!("instance {i} {mode:?}")
         }
         11 => {
             fleet.daemons[i].instance.set_answer_mode(AnswerMode::Normal);
             fleet.daemons[i].instance.set_service_time(Duration::from_millis(random.below(80)));
-            format!("instance {i} good")
+            format!("instance {i} answers normally")
         }
         12 => {
             fleet.daemons[i].instance.crash();
-            format!("instance {i} ends")
+            format!("instance {i} crashes")
         }
         13 => {
             operator.copy = Some(fleet.store.copy());
             "store copied".to_string()
         }
-        14 => operator.go_back(fleet).await,
+        14 => operator.restore_store(fleet).await,
         15 | 16 => {
             let text = LIMITS[random.below(LIMITS.len() as u64) as usize];
             limits.name(fleet, i, Some(text));
-            format!("instance {i} takes {text} a second")
+            format!("instance {i} names a limit of {text} a second")
         }
         17 => {
             limits.name(fleet, i, None);
-            format!("instance {i} takes all again")
+            format!("instance {i} names no limit")
         }
         18 => {
             fleet.daemons[i].instance.signal_leaving();
             limits.name(fleet, i, None);
-            smol::Timer::after(AWAY).await;
-            let born = FIRST_START_MS + operator.version * 1000 + random.below(1000);
-            fleet.daemons[i].instance.restart_at(born).await;
+            smol::Timer::after(OUTAGE_TIME).await;
+            let start_ms = FIRST_START_MS + operator.version * 1000 + random.below(1000);
+            fleet.daemons[i].instance.restart_at(start_ms).await;
             format!("instance {i} leaves and starts again")
         }
         _ => {
@@ -453,8 +470,8 @@
     }
 }
 
-/// Ends every fault.
-async fn mend(fleet: &mut HostedFleet) {
+/// Ends all faults and restarts the stopped daemons.
+async fn end_faults(fleet: &mut HostedFleet) {
     fleet.store.change_faults(|faults| faults.down = None);
     for i in 0..DAEMONS {
         fleet.signal(i, "-CONT");
@@ -465,7 +482,7 @@
             fleet.restart(i);
         }
     }
-    // Those told to stop a moment ago end within their time and are started again.
+    // Daemons that were told to stop just before exit within their timeout and are restarted.
     let until = Instant::now() + Duration::from_secs(5);
     while Instant::now() < until {
         for i in 0..DAEMONS {
@@ -477,23 +494,23 @@
     }
 }
 
-fn check(seed: u64, fleet: &HostedFleet, told: &Told, story: &[String]) {
-    let told = told.lock().expect("no caller panics");
+fn check_outcomes(seed: u64, fleet: &HostedFleet, outcomes: &Outcomes, fault_log: &[String]) {
+    let outcomes = outcomes.lock().expect("no caller panics");
     let mut broken = Vec::new();
-    for (id, outcome) in told.iter() {
+    for (id, outcome) in outcomes.iter() {
         let runs = fleet.ledger.count(id);
-        let fits = match outcome {
+        let is_consistent = match outcome {
             Outcome::Answered => runs >= 1,
             Outcome::NotRun if id.starts_with("/lift") => runs == 0,
-            Outcome::NotRun | Outcome::Open => true,
-            Outcome::Foreign => false,
+            Outcome::NotRun | Outcome::Unknown => true,
+            Outcome::WrongAnswer => false,
         };
-        if !fits || (id.starts_with("/lift") && runs > 1) {
+        if !is_consistent || (id.starts_with("/lift") && runs > 1) {
             broken.push(format!("{id}: {outcome:?}, ran {runs} times"));
         }
     }
-    let answered = told.values().filter(|outcome| **outcome == Outcome::Answered).count();
-    eprintln!("seed {seed}: {answered} of {} answered, {} faults", told.len(), story.len());
-    assert!(broken.is_empty(), "seed {seed}: {broken:#?} after {story:?}");
-    assert!(answered * 4 > told.len(), "seed {seed}: too few answered after {story:?}");
+    let answered = outcomes.values().filter(|outcome| **outcome == Outcome::Answered).count();
+    eprintln!("seed {seed}: {answered} of {} answered, {} faults", outcomes.len(), fault_log.len());
+    assert!(broken.is_empty(), "seed {seed}: {broken:#?} after {fault_log:?}");
+    assert!(answered * 4 > outcomes.len(), "seed {seed}: too few answered after {fault_log:?}");
 }
