--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -223,7 +223,7 @@
         lines.collect()
     }
 
-    /// Returns the versions that a daemon has run, in this order, over all its restarts.
+    /// Returns the versions that a daemon has run, in the order of its log, over all its restarts.
     pub fn versions_run(&self, i: usize) -> Vec<u64> {
         let log = self.log(i);
         let versions = log.split("\"version ").skip(1);
@@ -357,13 +357,13 @@
     }
 
     fn settings_json(&self, daemons: &[Daemon], spec: &Spec, platform: SocketAddr) -> Value {
-        let near: Vec<&Daemon> =
+        let same_domain: Vec<&Daemon> =
             daemons.iter().filter(|daemon| daemon.domain == self.domain).collect();
         let witnesses: Vec<&str> =
-            near.iter().take(WITNESSES).map(|daemon| daemon.name.as_str()).collect();
+            same_domain.iter().take(WITNESSES).map(|daemon| daemon.name.as_str()).collect();
         let peers: Vec<SocketAddr> =
-            near.iter().take(WITNESSES).map(|daemon| daemon.mesh).collect();
-        let far: serde_json::Map<String, Value> = spec
+            same_domain.iter().take(WITNESSES).map(|daemon| daemon.mesh).collect();
+        let far_peers: serde_json::Map<String, Value> = spec
             .domains
             .iter()
             .filter(|domain| **domain != self.domain)
@@ -389,7 +389,7 @@
             "platform": [platform],
             "witnesses": witnesses,
             "peers": peers,
-            "far_peers": far,
+            "far_peers": far_peers,
             "mesh_key": MESH_KEY,
             "threads": spec.threads,
             "limits": {"leave_ms": 500, "head_ms": spec.head_ms},
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between failure domains: a TCP relay with a delay that can be cut.
+//! A link between failure domains: a TCP relay that adds a delay and can be cut.
 
 use cicadashift_http::exec;
 use smol::Async;
--- a/crates/testkit/src/upstream.rs
+++ b/crates/testkit/src/upstream.rs
@@ -222,9 +222,9 @@
     }
 
     async fn report(&self) -> Result<(), SendError> {
-        let lies = lock(&self.shared.behaviour).claims_idle;
-        let readiness = if lies { "ready" } else { self.readiness() };
-        let in_flight = if lies { 0 } else { self.shared.running.load(Ordering::SeqCst) };
+        let claims_idle = lock(&self.shared.behaviour).claims_idle;
+        let readiness = if claims_idle { "ready" } else { self.readiness() };
+        let in_flight = if claims_idle { 0 } else { self.shared.running.load(Ordering::SeqCst) };
         let uri = format!("/v1/upstreams/{}/report", lock(&self.shared.behaviour).instance);
         let body = json!({"readiness": readiness, "in_flight": in_flight});
         self.send_to_daemon(Method::POST, &uri, &body).await
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -482,7 +482,8 @@
             fleet.restart(i);
         }
     }
-    // Daemons that were told to stop just before exit within their timeout and are restarted.
+    // A daemon that was told to stop shortly before may still be running. It exits within its
+    // drain timeout and is then restarted.
     let until = Instant::now() + Duration::from_secs(5);
     while Instant::now() < until {
         for i in 0..DAEMONS {
