--- a/crates/measure/src/footprint.rs
+++ b/crates/measure/src/footprint.rs
@@ -31,7 +31,7 @@
     let daemons = options.daemons.unwrap_or(60);
     let mesh = converge::start(options, daemons).await;
     let mut upstreams = Vec::new();
-    for node in &mesh.fleet.nodes {
+    for node in &mesh.fleet.daemons {
         let name = format!("first-{}", node.name);
         let behaviour = Behaviour::plain("notice", &name);
         let upstream = Upstream::start(behaviour, node.upstreams, mesh.ledger.clone());
@@ -53,9 +53,9 @@
         "idle": idle,
         "churn": churn,
         "churn_instances_per_s": round(daemons as f64 / INSTANCE_LIFE_S),
-        "reverted": mesh.fleet.reverted(),
+        "reverted": mesh.fleet.version_regressions(),
     });
-    let broken_promises = match mesh.fleet.reverted() {
+    let broken_promises = match mesh.fleet.version_regressions() {
         0 => Vec::new(),
         _ => vec!["no proxy goes back to an older version"],
     };
@@ -69,7 +69,7 @@
     let (mut n, mut last_change) = (0, started);
     while started.elapsed() < duration {
         let index = n % upstreams.len();
-        let node = &mesh.fleet.nodes[index];
+        let node = &mesh.fleet.daemons[index];
         let _leave_result = upstreams[index].leave().await;
         upstreams[index].kill();
         let behaviour = Behaviour::plain("notice", &format!("next-{n}-{}", node.name));
--- a/crates/measure/src/path.rs
+++ b/crates/measure/src/path.rs
@@ -3,7 +3,7 @@
 use crate::stats::{Times, round};
 use crate::{Options, Outcome, process};
 use cicadashift_http::exec;
-use cicadashift_testkit::caller::{Caller, Got};
+use cicadashift_testkit::caller::{CallOutcome, Caller};
 use cicadashift_testkit::fleet::Spec;
 use cicadashift_testkit::mesh::Mesh;
 use serde_json::json;
@@ -32,7 +32,7 @@
     let direct_callers: Vec<_> =
         mesh.upstreams.iter().map(|up| Arc::new(Caller::new(up.addr))).collect();
     let mesh_callers: Vec<_> =
-        mesh.fleet.nodes.iter().map(|node| Arc::new(Caller::new(node.callers))).collect();
+        mesh.fleet.daemons.iter().map(|node| Arc::new(Caller::new(node.callers))).collect();
     // Opens connections and touches memory pages, so that neither cost enters the figures.
     call_at_rate(&direct_callers, options.rate, 1, "warm-d").await;
     call_at_rate(&mesh_callers, options.rate, 1, "warm-t").await;
@@ -46,7 +46,7 @@
         mesh_run.merge(call_at_rate(&mesh_callers, options.rate, turn, &format!("t{n}")).await);
         cpu_seconds += daemon_cpu_seconds(&mesh) - before;
     }
-    let doubled = mesh.ledger.doubled();
+    let doubled = mesh.ledger.duplicates();
     let lost = direct_run.lost + mesh_run.lost;
     let mut broken_promises = Vec::new();
     if mesh_run.lost > 0 {
@@ -95,7 +95,8 @@
         tasks.push(exec::spawn(async move {
             let sent = Instant::now();
             let call = caller.call("POST", "/notices", &id, b"x").await;
-            let complete = matches!(&call.got, Got::Answer { request, .. } if *request == id);
+            let complete =
+                matches!(&call.outcome, CallOutcome::Answer { request, .. } if *request == id);
             (complete, sent.elapsed())
         }));
     }
--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request and says exactly what became of it.
+//! A caller, which sends requests and classifies their results.
 
 use bytes::Bytes;
 use cicadashift_http::body;
@@ -7,54 +7,54 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time after which a caller stops waiting; longer than any deadline used.
-const PATIENCE: Duration = Duration::from_secs(30);
-const MOST: usize = 64 << 20;
+/// Client-side timeout of a request; longer than any deadline in the tests.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// What a caller got.
+/// How a request ended for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Got {
-    /// A whole answer of an upstream.
+pub enum CallOutcome {
+    /// A complete answer of an upstream.
     Answer { status: u16, body: Bytes, instance: String, request: String },
-    /// Told that it did not run, and when to come back.
+    /// The request was reported as not run, with the time after which to retry.
     NotRun { reason: String, retry_after: Duration },
-    /// Told that it may have run.
+    /// The request was reported as possibly run.
     Unknown,
-    /// Refused for what it is, such as no route.
+    /// Any other answer, such as 404 for a missing route, with its status code.
     Refused(u16),
-    /// Nothing that can be understood: lost.
-    Nothing(String),
+    /// The request could not be sent or no complete answer arrived, with the error.
+    Lost(String),
 }
 
-/// One request's result.
+/// The result of one request.
 #[derive(Clone, Debug)]
-pub struct Call {
-    /// What came back.
-    pub got: Got,
-    /// How long it took.
+pub struct CallResult {
+    /// How the request ended.
+    pub outcome: CallOutcome,
+    /// Time from sending the request to its result.
     pub took: Duration,
 }
 
-/// Sends requests to one entry daemon or upstream.
+/// Sends requests to one entry daemon or one upstream.
 pub struct Caller {
     to: SocketAddr,
     pool: Pool,
 }
 
 impl Caller {
-    /// Makes a caller that keeps its connections.
+    /// Creates a caller that reuses its connections.
     pub fn new(to: SocketAddr) -> Caller {
         Caller { to, pool: Pool::new(256) }
     }
 
-    /// Sends one request named `id`.
-    pub async fn call(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> Call {
+    /// Sends one request with the request id `id`.
+    pub async fn call(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> CallResult {
         let started = Instant::now();
-        let got = self.attempt(method, uri, id, body).await;
-        Call { got, took: started.elapsed() }
+        let outcome = self.send(method, uri, id, body).await;
+        CallResult { outcome, took: started.elapsed() }
     }
 
-    async fn attempt(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> Got {
+    async fn send(&self, method: &str, uri: &str, id: &str, body: &[u8]) -> CallOutcome {
         let method = Method::from_bytes(method.as_bytes()).unwrap_or(Method::GET);
         let req = Request::builder()
             .method(method)
@@ -62,29 +62,29 @@
             .header("host", "mesh")
             .header("cicadashift-request-id", id)
             .body(body::full(body.to_vec()));
-        let Ok(req) = req else { return Got::Nothing("bad request".to_string()) };
-        let res = match self.pool.exchange(self.to, req, MOST, PATIENCE).await {
+        let Ok(req) = req else { return CallOutcome::Lost("bad request".to_string()) };
+        let res = match self.pool.exchange(self.to, req, MAX_ANSWER_BYTES, REQUEST_TIMEOUT).await {
             Ok(res) => res,
-            Err(err) => return Got::Nothing(err.to_string()),
+            Err(err) => return CallOutcome::Lost(err.to_string()),
         };
         let header = |name: &str| {
             res.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_string()
         };
         match header("cicadashift-outcome").as_str() {
-            "not-run" => Got::NotRun {
+            "not-run" => CallOutcome::NotRun {
                 reason: header("cicadashift-reason"),
                 retry_after: Duration::from_millis(
                     header("cicadashift-retry-after-ms").parse().unwrap_or(0),
                 ),
             },
-            "unknown" => Got::Unknown,
-            _ if res.status() == StatusCode::OK => Got::Answer {
+            "unknown" => CallOutcome::Unknown,
+            _ if res.status() == StatusCode::OK => CallOutcome::Answer {
                 status: res.status().as_u16(),
                 instance: header("x-instance"),
                 request: header("x-request"),
                 body: res.body().clone(),
             },
-            _ => Got::Refused(res.status().as_u16()),
+            _ => CallOutcome::Refused(res.status().as_u16()),
         }
     }
 }
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cicadashift_testkit::mesh::{EVERYWHERE, Mesh, NOTICES};
+use cicadashift_testkit::mesh::{Mesh, NOTICES_CONFIG, SELECT_ALL};
 use cicadashift_testkit::upstream::Behaviour;
 use common::{run, spec};
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 
 impl Operator {
     fn new(mesh: &Mesh) -> Operator {
-        let daemon = mesh.fleet.nodes[0].upstreams.to_string();
+        let daemon = mesh.fleet.daemons[0].upstreams.to_string();
         let name = format!("cicadashift-client-{}", daemon.replace([':', '.'], "-"));
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).expect("cannot create the temporary directory");
@@ -65,15 +65,15 @@
             Some(Behaviour::plain("notice", &format!("notice-{}", node.name)))
         })
         .await;
-        assert!(mesh.fleet.wait_service("notice", cicadashift_testkit::mesh::PATIENCE).await);
+        assert!(mesh.fleet.wait_service("notice", cicadashift_testkit::mesh::WAIT_TIMEOUT).await);
         // The roster names the service a moment after its upstreams are announced; `accept`
         // waits until it does.
-        mesh.accept(NOTICES).await.expect("the configuration is accepted");
+        mesh.accept(NOTICES_CONFIG).await.expect("the configuration is accepted");
         let op = Operator::new(&mesh);
-        let selector = op.file("selector.json", EVERYWHERE);
-        let config = op.file("config.json", NOTICES);
-        let unknown = op.file("unknown.json", &NOTICES.replace("\"notice\"", "\"nobody\""));
-        let field = op.file("field.json", &NOTICES.replace("\"id\"", "\"name\""));
+        let selector = op.file("selector.json", SELECT_ALL);
+        let config = op.file("config.json", NOTICES_CONFIG);
+        let unknown = op.file("unknown.json", &NOTICES_CONFIG.replace("\"notice\"", "\"nobody\""));
+        let field = op.file("field.json", &NOTICES_CONFIG.replace("\"id\"", "\"name\""));
         let text = op.file("text.json", "hello");
         let lines = [
             format!("selector set {selector} --dry-run"),
@@ -118,7 +118,7 @@
     run(async {
         let mesh = Mesh::serving(spec(&["a", "b"], 1)).await;
         let op = Operator::new(&mesh);
-        let deadline = std::time::Instant::now() + cicadashift_testkit::mesh::PATIENCE;
+        let deadline = std::time::Instant::now() + cicadashift_testkit::mesh::WAIT_TIMEOUT;
         while mesh.platform.keys("cicadashift/record/").len() < 2 {
             assert!(
                 std::time::Instant::now() < deadline,
