--- a/crates/measure/src/policy.rs
+++ b/crates/measure/src/policy.rs
@@ -225,7 +225,9 @@
 impl Targets {
     fn new(mesh: &Mesh, picker: Picker) -> Targets {
         let callers: Vec<Caller> = match picker {
-            Picker::Mesh => mesh.fleet.daemons.iter().map(|node| Caller::new(node.callers)).collect(),
+            Picker::Mesh => {
+                mesh.fleet.daemons.iter().map(|node| Caller::new(node.callers)).collect()
+            }
             _ => mesh.upstreams.iter().map(|up| Caller::new(up.addr)).collect(),
         };
         let in_use = Mutex::new((0..callers.len()).collect());
--- a/src/daemon/promotion.rs
+++ b/src/daemon/promotion.rs
@@ -184,8 +184,8 @@
 async fn send_to_branch(
     d: &Arc<Daemon>,
     branch: Branch,
-    ask: Request,
-    time: Duration,
+    request: Request,
+    timeout: Duration,
 ) -> Vec<(HostKey, DeliveryResult)> {
     let mut fates = Vec::new();
     let mut branch = branch;
