--- a/crates/measure/src/load/mod.rs
+++ b/crates/measure/src/load/mod.rs
@@ -33,7 +33,7 @@
 
 /// What is asked of the model.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct LoadOptions {
     /// The deployment.
     pub file: PathBuf,
     /// Seeds to play, from one on.
@@ -85,10 +85,10 @@
 /// # Errors
 ///
 /// Returns why it cannot be played.
-pub fn run(asked: &Asked) -> Result<Value, LoadError> {
-    let deployment = Deployment::read(&asked.file).map_err(LoadError::Deployment)?;
-    let switches = Switches::without(asked.without.as_deref())?;
-    let runs = play_all(&deployment, switches, asked.seeds);
+pub fn run(options: &LoadOptions) -> Result<Value, LoadError> {
+    let deployment = Deployment::read(&options.file).map_err(LoadError::Deployment)?;
+    let switches = Switches::without(options.without.as_deref())?;
+    let runs = play_all(&deployment, switches, options.seeds);
     let shares: Vec<f64> = runs.iter().map(|run| run.all.share()).collect();
     let mean = shares.iter().sum::<f64>() / shares.len().max(1) as f64;
     let off = shares.iter().map(|share| (share - mean).powi(2)).sum::<f64>();
@@ -96,13 +96,13 @@
     let mut runs = runs.into_iter();
     let Some(mut total) = runs.next() else { return Ok(json!({})) };
     runs.for_each(|run| total.merge(&run));
-    if let Some(path) = &asked.svg {
+    if let Some(path) = &options.svg {
         plot::draw(path, &total).map_err(LoadError::Plot)?;
     }
     let mut summary = total.to_json();
-    summary["file"] = name_of(&asked.file).into();
-    summary["seeds"] = asked.seeds.into();
-    summary["without"] = asked.without.clone().into();
+    summary["file"] = name_of(&options.file).into();
+    summary["seeds"] = options.seeds.into();
+    summary["without"] = options.without.clone().into();
     summary["share_mean"] = round(mean).into();
     summary["share_deviation"] = round(spread).into();
     Ok(summary)
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -96,7 +96,7 @@
         std::process::exit(2);
     };
     let seeds = flags.seeds.unwrap_or(SEEDS);
-    match load::run(&load::Asked { file, seeds, without: flags.without, svg: flags.svg }) {
+    match load::run(&load::LoadOptions { file, seeds, without: flags.without, svg: flags.svg }) {
         Ok(mut summary) => {
             summary["experiment"] = "load".into();
             summary["summary"] = true.into();
