--- a/crates/measure/src/load/deployment.rs
+++ b/crates/measure/src/load/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployments that the model plays, as TOML in `testdata/load/`.
+//! The deployments that the model simulates, as TOML in `testdata/load/`.
 
 use cicadashift_core::config::Priority;
 use serde::Deserialize;
@@ -6,46 +6,46 @@
 use std::fmt;
 use std::path::Path;
 
-/// Upstreams, callers and troubles of one run.
+/// Upstreams, callers and faults of one run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deployment {
-    /// Time during which new callers come, in seconds.
+    /// Time during which new callers arrive, in seconds.
     pub seconds: f64,
-    /// Time at the beginning whose callers are not counted, in seconds.
+    /// Warm-up at the beginning, whose callers are not counted, in seconds.
     pub warm_s: f64,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Times of the ways.
-    pub ways: Ways,
-    /// Repeated arrivals that all daemons may add, for each first one.
+    /// Network delays.
+    pub ways: Delays,
+    /// Retry budget of all daemons together: retries for each first attempt.
     pub retry_ratio: f64,
-    /// The same beyond the ratio.
+    /// Retries that all daemons together may make beyond the ratio.
     pub retry_slack: f64,
-    /// Processor time that a daemon takes for one message on a processor of its own, in
-    /// microseconds; a call is four messages, two at each end.
+    /// Processor time that a daemon needs for one message on a full processor, in
+    /// microseconds. A call takes four messages, two at each end.
     #[serde(default)]
     pub message_us: f64,
     /// Services by name.
     pub service: BTreeMap<String, Service>,
     /// Kinds of calls by name.
     pub kind: BTreeMap<String, Kind>,
-    /// What goes wrong.
+    /// Faults that are injected.
     #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    pub trouble: Vec<Fault>,
 }
 
-/// One way, in milliseconds, with the work of the daemons at its ends.
+/// One-way delays in milliseconds, including the work of the daemons at both ends.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ways {
+pub struct Delays {
     /// Between a caller and its entry daemon.
     pub caller_ms: f64,
-    /// Between two hosts of a failure domain, in the mean.
+    /// Between two hosts of a failure domain, as a mean.
     pub near_ms: f64,
-    /// Added between failure domains.
+    /// Added between hosts of different failure domains.
     pub far_ms: f64,
-    /// From a change of an upstream until the others know of it.
+    /// From a change of an upstream until the other daemons have received it.
     pub news_ms: f64,
 }
 
@@ -55,17 +55,18 @@
 pub struct Service {
     /// Upstreams in each failure domain.
     pub upstreams: Vec<usize>,
-    /// Calls that each runs at once.
+    /// Calls that each upstream runs at once.
     pub slots: u16,
-    /// Times of a call in means of its kind; the upstreams take them in turn.
+    /// Service times in multiples of the mean of a call's kind, assigned to the upstreams in
+    /// turn.
     pub speeds: Vec<f64>,
-    /// Shares of a processor that the daemons beside them have; they take them in turn.
-    #[serde(default = "whole")]
+    /// Shares of a processor that the daemons on the upstreams' hosts have, assigned in turn.
+    #[serde(default = "full_share")]
     pub shares: Vec<f64>,
     /// How long an upstream is cold after its start, in seconds.
     #[serde(default)]
     pub cold_s: f64,
-    /// How much longer calls take meanwhile.
+    /// Factor on the service times of a cold upstream.
     #[serde(default = "one")]
     pub cold_x: f64,
 }
@@ -74,110 +75,111 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// The service that serves them.
+    /// The service that serves the calls.
     pub service: String,
-    /// New callers a second; zero for kinds that only upstreams call.
+    /// New callers per second; zero for kinds that only upstreams call.
     #[serde(default)]
     pub per_s: f64,
-    /// Mean time at an upstream of speed one, in milliseconds.
+    /// Mean service time at an upstream of speed one, in milliseconds.
     pub work_ms: f64,
-    /// Standard deviation of the logarithm of that time.
+    /// Standard deviation of the logarithm of the service time.
     pub spread: f64,
     /// Share of the calls that take `tail_x` times as long.
     #[serde(default)]
     pub tail: f64,
-    /// See `tail`.
+    /// Factor on the service time of the calls in the tail; see `tail`.
     #[serde(default = "one")]
     pub tail_x: f64,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Time within which an answer has its full worth, in milliseconds.
     pub objective_ms: f64,
-    /// How long callers wait at the most, in milliseconds.
+    /// Longest time that callers wait, in milliseconds.
     pub deadline_ms: f64,
-    /// The rank, zero the most urgent.
+    /// Rank of the priority; zero is the most urgent.
     pub rank: u8,
-    /// Whether it may run twice.
+    /// Whether a call may run twice.
     #[serde(default)]
     pub repeatable: bool,
-    /// What an answer in time is worth.
+    /// Worth of an answer within the objective.
     #[serde(default)]
     pub worth: f64,
-    /// What a late one is worth.
+    /// Worth of an answer after the objective.
     #[serde(default)]
     pub late_worth: f64,
-    /// How often a caller comes back.
+    /// Retries that a caller makes.
     #[serde(default)]
     pub retries: u32,
-    /// Calls that an upstream makes while it runs one.
+    /// Nested calls that an upstream makes while it runs a call.
     pub calls: Option<Nested>,
 }
 
-/// Calls that an upstream makes, all at once and at the end of its work: what it did is
-/// lost if one of them is.
+/// Nested calls of an upstream, all made at once at the end of its work. If one of them fails,
+/// the run fails and its work is wasted.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Nested {
-    /// Their kind.
+    /// Kind of the nested calls.
     pub kind: String,
-    /// How many.
+    /// Number of nested calls.
     pub times: u32,
-    /// Share of the calls whose upstream makes them.
+    /// Share of the runs that make nested calls.
     pub share: f64,
 }
 
-/// What goes wrong for a time.
+/// A fault that lasts for some time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    /// When it begins, in seconds.
+pub struct Fault {
+    /// When the fault begins, in seconds.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// How long the fault lasts, in seconds.
     pub for_s: f64,
-    /// What it is.
-    pub what: What,
-    /// The service whose upstreams it meets; all if left out.
+    /// Kind of the fault.
+    pub what: FaultKind,
+    /// The service whose upstreams are affected; those of all services if left out.
     pub service: Option<String>,
-    /// Share of the upstreams that it meets.
+    /// Share of the upstreams that are affected; for `leave` and `impatient`, of the callers.
     #[serde(default = "one")]
     pub share: f64,
-    /// How strong it is; see [`What`].
+    /// Strength of the fault; see [`FaultKind`].
     #[serde(default = "one")]
     pub x: f64,
 }
 
-/// Kinds of trouble.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// `x` times as many new callers.
+pub enum FaultKind {
+    /// `x` times as many new callers arrive.
     Burst,
-    /// Upstreams refuse a share `x` of the calls, full or not.
+    /// Upstreams refuse a share `x` of the calls, even with free slots.
     Refuse,
     /// Upstreams answer a share `x` of the calls with a failure.
     Fail,
-    /// Upstreams run a share `x` of the calls and lose the answer.
+    /// Upstreams run a share `x` of the calls, but the answer is lost.
     Lose,
     /// Calls take `x` times as long.
     Slow,
-    /// Upstreams cannot be reached, then start again cold.
+    /// Upstreams cannot be reached, then restart cold.
     Down,
-    /// The same for whole hosts: their daemons start again and know nothing.
+    /// Daemons and upstreams of whole hosts cannot be reached, then restart without state.
     Restart,
-    /// A share of the callers leaves after half of its objective.
+    /// A share of the callers disconnects after half of its objective.
     Leave,
-    /// A share of the callers comes back at once, `x` times as often.
+    /// A share of the callers ignores the waits that refusals name, and has `x` times as many
+    /// retries.
     Impatient,
 }
 
-/// Why a deployment cannot be played.
+/// Why a deployment cannot be simulated.
 #[derive(Debug)]
 pub enum DeploymentError {
     /// The file cannot be read.
     Unreadable(std::io::Error),
-    /// It is no TOML of this form.
+    /// The file is not valid TOML for a [`Deployment`].
     Malformed(toml::de::Error),
-    /// It names something that is not there.
+    /// The file names a service or a kind that it does not define.
     Unknown { what: &'static str, name: String },
-    /// A list has not one entry for each failure domain.
+    /// A service has no number of upstreams for some failure domain, or no speed.
     Domains { service: String },
 }
 
@@ -188,7 +190,10 @@
             DeploymentError::Malformed(err) => write!(f, "{err}"),
             DeploymentError::Unknown { what, name } => write!(f, "no {what} named {name:?}"),
             DeploymentError::Domains { service } => {
-                write!(f, "service {service:?}: one number of upstreams for each domain is needed")
+                write!(
+                    f,
+                    "service {service:?}: needs an upstream count for each domain, and a speed"
+                )
             }
         }
     }
@@ -197,11 +202,11 @@
 impl std::error::Error for DeploymentError {}
 
 impl Deployment {
-    /// Reads and checks a file.
+    /// Reads and validates a deployment file.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns an error if the file cannot be read or is not a valid deployment.
     pub fn read(path: &Path) -> Result<Deployment, DeploymentError> {
         let text = std::fs::read_to_string(path).map_err(DeploymentError::Unreadable)?;
         let deployment: Deployment = toml::from_str(&text).map_err(DeploymentError::Malformed)?;
@@ -216,19 +221,19 @@
             }
         }
         for kind in self.kind.values() {
-            self.must_have_service(&kind.service)?;
+            self.check_service(&kind.service)?;
             if let Some(nested) = &kind.calls {
-                let known = self.kind.contains_key(&nested.kind);
-                let unknown =
+                let exists = self.kind.contains_key(&nested.kind);
+                let unknown_kind =
                     || DeploymentError::Unknown { what: "kind", name: nested.kind.clone() };
-                known.then_some(()).ok_or_else(unknown)?;
+                exists.then_some(()).ok_or_else(unknown_kind)?;
             }
         }
-        let named = self.trouble.iter().filter_map(|trouble| trouble.service.as_ref());
-        named.into_iter().try_for_each(|service| self.must_have_service(service))
+        let named = self.trouble.iter().filter_map(|fault| fault.service.as_ref());
+        named.into_iter().try_for_each(|service| self.check_service(service))
     }
 
-    fn must_have_service(&self, name: &str) -> Result<(), DeploymentError> {
+    fn check_service(&self, name: &str) -> Result<(), DeploymentError> {
         match self.service.contains_key(name) {
             true => Ok(()),
             false => Err(DeploymentError::Unknown { what: "service", name: name.to_string() }),
@@ -237,13 +242,13 @@
 }
 
 impl Kind {
-    /// Returns its rank as the product's.
+    /// Returns the rank as a priority of `cicadashift_core`.
     pub fn priority(&self) -> Priority {
         Priority(self.rank)
     }
 }
 
-fn whole() -> Vec<f64> {
+fn full_share() -> Vec<f64> {
     vec![1.0]
 }
 
--- a/crates/measure/src/load/entry.rs
+++ b/crates/measure/src/load/entry.rs
@@ -1,42 +1,43 @@
-//! The entry daemon: as `src/daemon/request/attempts`, without sockets.
+//! The entry daemon: the logic of `src/daemon/request/attempts`, without sockets.
 
 use super::caller::End;
-use super::exit::{Stage, Try};
-use super::world::{CallerId, Event, HostId, KindId, RequestId, TryId, World};
+use super::exit::{Stage, UpstreamAttempt};
+use super::world::{AttemptId, CallerId, Event, HostId, KindId, RequestId, World};
 use cicadashift_core::request::MIN_RETRY_AFTER;
 use cicadashift_core::request::choose::{Demand, LoadReport, Outcome, UpstreamKey};
 use cicadashift_core::request::gate::KindKey;
 use cicadashift_core::request::retry::{Attempt, CallState, MAX_ATTEMPTS, RetryDecision};
 use std::time::Duration;
 
-/// What a request is given up before its caller does, as `src/daemon/request/entry.rs`
-/// has it.
+/// Time between the deadline of a request and that of its caller, as in
+/// `src/daemon/request/entry.rs`.
 const CALLER_MARGIN: Duration = Duration::from_millis(25);
 
-/// Hosts asked for a free slot before a call waits at one.
+/// Hosts asked for a free slot before a call is queued at one, as in
+/// `src/daemon/request/attempts/so_far.rs`.
 const ASKED_FREE: u32 = 2;
 
-/// What an entry daemon hears of an attempt.
+/// Result of an attempt, as the entry daemon receives it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Got {
-    /// A whole answer: whether it is good, and the time at the upstream.
+pub enum AttemptResult {
+    /// A complete answer: whether it reports success, the service time and the load report.
     Answer { good: bool, service: Duration, report: LoadReport },
-    /// The exit daemon or the upstream did not take it.
+    /// Refused and not run, by the upstream if `arrived` is set and else by the exit daemon.
     Refused { retry_after: Duration, arrived: bool, report: LoadReport },
-    /// The exit daemon would have let it wait.
+    /// Not admitted by the exit daemon, since the attempt would have had to wait for a slot.
     Full { report: LoadReport },
     /// The host could not be reached.
     Unreached,
-    /// No whole answer.
-    Broken,
+    /// No complete answer.
+    Incomplete,
 }
 
-/// Who made a request.
+/// The origin of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Parent {
     Caller(CallerId),
-    /// An upstream, while it runs this attempt.
-    Run(TryId),
+    /// An upstream that made a nested call while it ran this attempt.
+    Run(AttemptId),
 }
 
 /// One request at its entry daemon.
@@ -45,76 +46,80 @@
     pub kind: KindId,
     pub entry: HostId,
     pub parent: Parent,
-    pub first_came: Duration,
+    pub first_arrival: Duration,
     pub deadline: Duration,
-    until: Duration,
+    /// When the caller stops waiting; the deadline is earlier by [`CALLER_MARGIN`].
+    caller_deadline: Duration,
     tried: Vec<UpstreamKey>,
-    open: Vec<TryId>,
+    in_flight: Vec<AttemptId>,
+    /// Attempts that reached an upstream, or may have.
     arrivals: u32,
-    soonest: Option<Duration>,
+    /// Shortest wait before a retry that a refusal named.
+    shortest_wait: Option<Duration>,
     may_have_run: bool,
     ended: bool,
-    /// Upstreams that had no free slot, and how many were asked so.
+    /// Upstreams asked for a free slot; they may be asked again, to queue the call there.
     full: Vec<UpstreamKey>,
+    /// Number of upstreams that had no free slot; [`ASKED_FREE`] once the call may be queued.
     asked_free: u32,
 }
 
 impl World {
-    /// Takes a request in and sends it to a first upstream.
-    pub fn enter(
+    /// Accepts a request and sends it to a first upstream.
+    pub fn start_request(
         &mut self,
         kind: KindId,
         entry: HostId,
         parent: Parent,
-        until: Duration,
+        caller_deadline: Duration,
     ) -> RequestId {
         let now = self.now();
-        let (key, at) = (KindKey(kind.0 as u64), self.instant(until));
+        let (key, at) = (KindKey(kind.0 as u64), self.instant(caller_deadline));
         let returning = &mut self.hosts[entry.0].returning;
-        let known = returning.take_first_arrival(key, at).filter(|_| self.switches.returning);
-        let first_came =
-            known.map_or(now, |first| first.duration_since(self.instant(Duration::ZERO)));
+        let earlier = returning.take_first_arrival(key, at).filter(|_| self.switches.returning);
+        let first_arrival =
+            earlier.map_or(now, |first| first.duration_since(self.instant(Duration::ZERO)));
         let request = Request {
             kind,
             entry,
             parent,
-            first_came,
-            deadline: until.saturating_sub(CALLER_MARGIN),
-            until,
+            first_arrival,
+            deadline: caller_deadline.saturating_sub(CALLER_MARGIN),
+            caller_deadline,
             tried: Vec::new(),
-            open: Vec::new(),
+            in_flight: Vec::new(),
             arrivals: 0,
-            soonest: None,
+            shortest_wait: None,
             may_have_run: false,
             ended: false,
             full: Vec::new(),
             asked_free: 0,
         };
-        let left = request.deadline.saturating_sub(now);
+        let time_left = request.deadline.saturating_sub(now);
         self.requests.push(request);
         let id = RequestId(self.requests.len() - 1);
-        self.after(left, Event::Deadline(id));
-        let service = self.service_of_kind(kind);
+        self.schedule(time_left, Event::Deadline(id));
+        let service = self.service_index_of_kind(kind);
         let allowance = self.allowance();
         self.hosts[entry.0].budgets[service].earn(allowance, at);
-        self.pursue(id);
+        self.send_next(id);
         id
     }
 
-    pub(super) fn service_of_kind(&self, kind: KindId) -> usize {
-        self.service_of(&self.kinds[kind.0].1.service)
+    pub(super) fn service_index_of_kind(&self, kind: KindId) -> usize {
+        self.service_index(&self.kinds[kind.0].1.service)
     }
 
-    /// Returns whether nobody was told yet what became of a request.
-    pub fn is_open(&self, request: RequestId) -> bool {
+    /// Returns whether a request has not ended yet.
+    pub fn is_pending(&self, request: RequestId) -> bool {
         !self.requests[request.0].ended
     }
 
-    /// Returns what a request asks of a choice.
+    /// Returns the properties of a request that the choice of an upstream depends on.
     pub fn demand(&self, request: RequestId) -> Demand {
-        let Request { kind, first_came, .. } = self.requests[request.0];
+        let Request { kind, first_arrival, .. } = self.requests[request.0];
         let spec = &self.kinds[kind.0].1;
-        let objective = first_came + Duration::from_secs_f64(spec.objective_ms / 1e3);
+        let objective = first_arrival + Duration::from_secs_f64(spec.objective_ms / 1e3);
         Demand {
             kind: KindKey(kind.0 as u64),
             priority: spec.priority(),
@@ -122,28 +127,28 @@
         }
     }
 
-    /// Sends a request to the next upstream.
-    fn pursue(&mut self, id: RequestId) {
+    /// Sends a request to the next upstream, or ends it if none is left or its deadline passed.
+    fn send_next(&mut self, id: RequestId) {
         let now = self.now();
         if now >= self.requests[id.0].deadline {
             return self.give_up(id, MIN_RETRY_AFTER);
         }
         let (demand, random, at) = (self.demand(id), self.rng.u64(..), self.instant(now));
         let request = &self.requests[id.0];
-        let service = self.service_of_kind(request.kind);
+        let service = self.service_index_of_kind(request.kind);
         let picker = &self.hosts[request.entry.0].pickers[service];
         match picker.choose(demand, at, random, &request.tried) {
             Ok(choice) => self.send(id, choice.key, demand),
-            Err(wait) => match self.back_to_full(id) {
-                true => self.pursue(id),
+            Err(wait) => match self.allow_waiting(id) {
+                true => self.send_next(id),
                 false => self.give_up(id, wait),
             },
         }
     }
 
-    /// Lets a request be sent to those that had no free slot, to wait there; returns
-    /// whether there are any.
-    fn back_to_full(&mut self, id: RequestId) -> bool {
+    /// Allows a request to wait for a slot at the upstreams that had none free; returns whether
+    /// there are any.
+    fn allow_waiting(&mut self, id: RequestId) -> bool {
         let request = &mut self.requests[id.0];
         let full = std::mem::take(&mut request.full);
         request.asked_free = ASKED_FREE;
@@ -154,122 +159,133 @@
     fn send(&mut self, id: RequestId, key: UpstreamKey, demand: Demand) {
         let now = self.now();
         let (entry, kind) = (self.requests[id.0].entry, self.requests[id.0].kind);
-        let service = self.service_of_kind(kind);
+        let service = self.service_index_of_kind(kind);
         let picker = &mut self.hosts[entry.0].pickers[service];
         picker.started(key);
-        let known = picker.info(key);
-        let (host, name) = (HostId(known.host.0 as usize), known.instance.clone());
+        let info = picker.info(key);
+        let (host, name) = (HostId(info.host.0 as usize), info.instance.clone());
         let hedge_after = picker.hedge_after(demand);
-        let life = name.split('@').next_back().and_then(|life| life.parse().ok()).unwrap_or(0);
+        let incarnation = name
+            .split('@')
+            .next_back()
+            .and_then(|incarnation| incarnation.parse().ok())
+            .unwrap_or(0);
         let has_room = self.hosts[entry.0].pickers[service].has_room(key, self.instant(now));
         let asks_free = self.switches.ask_free && self.requests[id.0].asked_free < ASKED_FREE;
         let max_wait = if asks_free && has_room { Duration::ZERO } else { Duration::MAX };
-        let way = self.way(entry, host);
-        let back = self.way(host, entry);
-        let stage = Stage::OnWay;
-        self.tries.push(Try {
+        let delay = self.one_way_delay(entry, host);
+        let return_delay = self.one_way_delay(host, entry);
+        let stage = Stage::InTransit;
+        self.attempts.push(UpstreamAttempt {
             request: id,
             host,
-            life,
+            incarnation,
             key,
             demand,
-            sent: now,
-            back,
+            sent_at: now,
+            return_delay,
             max_wait,
             stage,
         });
-        let attempt = TryId(self.tries.len() - 1);
+        let attempt = AttemptId(self.attempts.len() - 1);
         let request = &mut self.requests[id.0];
         request.tried.push(key);
         if max_wait.is_zero() {
             request.full.push(key);
         }
-        request.open.push(attempt);
-        self.after(way, Event::AtExit(attempt));
-        if let Some(wait) = hedge_after.filter(|_| self.switches.second) {
-            self.after(wait, Event::Late(attempt));
+        request.in_flight.push(attempt);
+        self.schedule(delay, Event::AtExit(attempt));
+        if let Some(wait) = hedge_after.filter(|_| self.switches.hedge) {
+            self.schedule(wait, Event::HedgeDue(attempt));
         }
     }
 
-    /// Sends a second attempt beside one that is late, where it may pay.
-    pub(super) fn late(&mut self, attempt: TryId) {
-        let Try { request: id, key, sent, .. } = self.tries[attempt.0];
-        let is_first = self.requests[id.0].open == [attempt];
+    /// Sends a hedged attempt beside a late one, if the picker and the retry budget allow it.
+    pub(super) fn hedge(&mut self, attempt: AttemptId) {
+        let UpstreamAttempt { request: id, key, sent_at, .. } = self.attempts[attempt.0];
+        let is_only = self.requests[id.0].in_flight == [attempt];
         let spec = &self.kinds[self.requests[id.0].kind.0].1;
-        let may_double = spec.repeatable && self.requests[id.0].arrivals + 1 < MAX_ATTEMPTS;
-        if !self.is_open(id) || !is_first || !may_double {
+        let hedge_allowed = spec.repeatable && self.requests[id.0].arrivals + 1 < MAX_ATTEMPTS;
+        if !self.is_pending(id) || !is_only || !hedge_allowed {
             return;
         }
         let now = self.now();
         let (demand, at) = (self.demand(id), self.instant(now));
         let (entry, service) =
-            (self.requests[id.0].entry, self.service_of_kind(self.requests[id.0].kind));
-        let passed = now.saturating_sub(sent);
+            (self.requests[id.0].entry, self.service_index_of_kind(self.requests[id.0].kind));
+        let elapsed = now.saturating_sub(sent_at);
         let random = self.rng.u64(..);
         let tried = self.requests[id.0].tried.clone();
         let host = &mut self.hosts[entry.0];
-        host.pickers[service].record_late(key, demand, passed, at);
+        host.pickers[service].record_late(key, demand, elapsed, at);
         let Ok(choice) = host.pickers[service].choose(demand, at, random, &tried) else { return };
-        let pays =
+        let may_send =
             host.pickers[service].may_hedge(choice.key, at) && host.budgets[service].spend(random);
-        if pays {
+        if may_send {
             self.requests[id.0].arrivals += 1;
             self.send(id, choice.key, demand);
         }
     }
 
-    /// Takes in what became of an attempt.
-    pub(super) fn back(&mut self, attempt: TryId, got: Got) {
-        let Try { request: id, key, demand, sent, .. } = self.tries[attempt.0];
-        if !self.requests[id.0].open.contains(&attempt) {
+    /// Handles the result of an attempt.
+    pub(super) fn attempt_ended(&mut self, attempt: AttemptId, result: AttemptResult) {
+        let UpstreamAttempt { request: id, key, demand, sent_at, .. } = self.attempts[attempt.0];
+        if !self.requests[id.0].in_flight.contains(&attempt) {
             return;
         }
-        self.requests[id.0].open.retain(|other| *other != attempt);
+        self.requests[id.0].in_flight.retain(|other| *other != attempt);
         let now = self.now();
-        let total = now.saturating_sub(sent);
-        let outcome = match got {
-            Got::Answer { good: true, service, report } => {
+        let total = now.saturating_sub(sent_at);
+        let outcome = match result {
+            AttemptResult::Answer { good: true, service, report } => {
                 Outcome::Answered { service, total, report }
             }
-            Got::Answer { good: false, .. } => Outcome::ErrorAnswer,
-            Got::Refused { retry_after, report, .. } => Outcome::Refused { retry_after, report },
-            Got::Full { report } => Outcome::Full { report },
-            Got::Unreached => Outcome::Unreached,
-            Got::Broken => Outcome::Failed,
+            AttemptResult::Answer { good: false, .. } => Outcome::ErrorAnswer,
+            AttemptResult::Refused { retry_after, report, .. } => {
+                Outcome::Refused { retry_after, report }
+            }
+            AttemptResult::Full { report } => Outcome::Full { report },
+            AttemptResult::Unreached => Outcome::Unreached,
+            AttemptResult::Incomplete => Outcome::Failed,
         };
         self.record(id, key, demand, outcome);
-        let attempt = match got {
-            Got::Answer { good: true, .. } => return self.end(id, End::Served),
-            Got::Answer { good: false, .. } | Got::Broken => Attempt::Unknown,
-            Got::Refused { retry_after, arrived, .. } => Attempt::NotRun { retry_after, arrived },
-            Got::Unreached => Attempt::unreached(),
-            Got::Full { .. } => {
+        let attempt = match result {
+            AttemptResult::Answer { good: true, .. } => return self.end(id, End::Served),
+            AttemptResult::Answer { good: false, .. } | AttemptResult::Incomplete => {
+                Attempt::Unknown
+            }
+            AttemptResult::Refused { retry_after, arrived, .. } => {
+                Attempt::NotRun { retry_after, arrived }
+            }
+            AttemptResult::Unreached => Attempt::unreached(),
+            AttemptResult::Full { .. } => {
                 self.requests[id.0].asked_free += 1;
                 if self.requests[id.0].asked_free >= ASKED_FREE {
-                    self.back_to_full(id);
+                    self.allow_waiting(id);
                 }
-                return self.pursue(id);
+                return self.send_next(id);
             }
         };
-        self.missed(id, attempt);
+        self.attempt_failed(id, attempt);
     }
 
     fn record(&mut self, id: RequestId, key: UpstreamKey, demand: Demand, outcome: Outcome) {
         let (entry, kind) = (self.requests[id.0].entry, self.requests[id.0].kind);
-        let (service, at) = (self.service_of_kind(kind), self.instant(self.now()));
+        let (service, at) = (self.service_index_of_kind(kind), self.instant(self.now()));
         self.hosts[entry.0].pickers[service].ended(key, demand, outcome, at);
     }
 
-    fn missed(&mut self, id: RequestId, attempt: Attempt) {
+    fn attempt_failed(&mut self, id: RequestId, attempt: Attempt) {
         let request = &mut self.requests[id.0];
         if let Attempt::NotRun { retry_after, .. } = attempt {
-            let soonest = request.soonest.map_or(retry_after, |wait| wait.min(retry_after));
-            request.soonest = Some(soonest);
+            let shortest_wait =
+                request.shortest_wait.map_or(retry_after, |wait| wait.min(retry_after));
+            request.shortest_wait = Some(shortest_wait);
         }
         let may_have_run = request.may_have_run;
         request.arrivals += u32::from(attempt.may_have_arrived());
         request.may_have_run |= attempt == Attempt::Unknown;
-        if !request.open.is_empty() {
+        if !request.in_flight.is_empty() {
             return;
         }
         let request = self.requests[id.0].clone();
@@ -281,13 +297,13 @@
             max_attempts: MAX_ATTEMPTS,
             may_have_run,
         };
-        let left = request.deadline.saturating_sub(self.now());
-        let (service, random) = (self.service_of_kind(request.kind), self.rng.u64(..));
+        let time_left = request.deadline.saturating_sub(self.now());
+        let (service, random) = (self.service_index_of_kind(request.kind), self.rng.u64(..));
         let budget = &mut self.hosts[request.entry.0].budgets[service];
-        match call.decide(attempt, left, budget, random) {
-            RetryDecision::Retry => self.pursue(id),
+        match call.decide(attempt, time_left, budget, random) {
+            RetryDecision::Retry => self.send_next(id),
             RetryDecision::Refuse { retry_after } => {
-                let wait = request.soonest.unwrap_or(retry_after).max(MIN_RETRY_AFTER);
+                let wait = request.shortest_wait.unwrap_or(retry_after).max(MIN_RETRY_AFTER);
                 self.end(id, End::Refused(retry_after.min(wait)));
             }
             RetryDecision::Answer | RetryDecision::Unknown => self.end(id, End::Failed),
@@ -296,38 +312,40 @@
 
     fn give_up(&mut self, id: RequestId, wait: Duration) {
         let request = &self.requests[id.0];
-        let wait = request.soonest.unwrap_or(wait);
+        let wait = request.shortest_wait.unwrap_or(wait);
         match request.may_have_run {
             true => self.end(id, End::Failed),
             false => self.end(id, End::Refused(wait)),
         }
     }
 
-    pub(super) fn deadline(&mut self, id: RequestId) {
-        if self.is_open(id) {
+    pub(super) fn deadline_passed(&mut self, id: RequestId) {
+        if self.is_pending(id) {
             self.end(id, End::Failed);
         }
     }
 
-    /// Ends a request and gives up what is still under way for it.
+    /// Ends a request and cancels its attempts in flight.
     pub fn end(&mut self, id: RequestId, end: End) {
         self.requests[id.0].ended = true;
-        for attempt in std::mem::take(&mut self.requests[id.0].open) {
-            let Try { host, key, demand, .. } = self.tries[attempt.0];
+        for attempt in std::mem::take(&mut self.requests[id.0].in_flight) {
+            let UpstreamAttempt { host, key, demand, .. } = self.attempts[attempt.0];
             self.record(id, key, demand, Outcome::Cancelled);
-            let way = self.way(self.requests[id.0].entry, host);
-            self.after(way, Event::GivenUp(attempt));
+            let delay = self.one_way_delay(self.requests[id.0].entry, host);
+            self.schedule(delay, Event::AttemptCancelled(attempt));
         }
-        let Request { kind, entry, parent, first_came, until, .. } = self.requests[id.0];
+        let Request { kind, entry, parent, first_arrival, caller_deadline, .. } =
+            self.requests[id.0];
         if matches!(end, End::Refused(_) | End::Failed) {
-            let (since, until) = (self.instant(first_came), self.instant(until));
+            let (since, caller_deadline) =
+                (self.instant(first_arrival), self.instant(caller_deadline));
             let now = self.instant(self.now());
             let returning = &mut self.hosts[entry.0].returning;
-            returning.record_unanswered(KindKey(kind.0 as u64), since, until, now);
+            returning.record_unanswered(KindKey(kind.0 as u64), since, caller_deadline, now);
         }
         match parent {
-            Parent::Caller(caller) => self.caller_ends(caller, end),
-            Parent::Run(run) => self.nested_ends(run, end == End::Served),
+            Parent::Caller(caller) => self.answer_caller(caller, end),
+            Parent::Run(run) => self.nested_call_ended(run, end == End::Served),
         }
     }
 }
--- a/crates/measure/src/load/exit.rs
+++ b/crates/measure/src/load/exit.rs
@@ -1,52 +1,61 @@
 //! The exit daemon with its gate, and the upstream behind it.
 
 use super::caller::End;
-use super::entry::{Got, Parent};
-use super::world::{Event, HostId, KindId, RequestId, TryId, World};
+use super::entry::{AttemptResult, Parent};
+use super::world::{AttemptId, Event, HostId, KindId, RequestId, World};
 use cicadashift_core::request::choose::{Demand, LoadReport, UpstreamKey};
 use cicadashift_core::request::gate::{
     self, Admission, Arrival, CallerKey, Gate, Refusal, Ticket, Wake,
 };
 use std::time::Duration;
 
-/// How far an attempt is.
+/// State of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Stage {
-    OnWay,
-    Waits(Ticket),
-    Runs { ticket: Ticket, since: Duration, nested: Vec<RequestId>, left: u32 },
-    Over,
+    /// On the way to the exit daemon.
+    InTransit,
+    /// Waiting for a slot at the gate.
+    Queued(Ticket),
+    /// Running at the upstream; `calls_left` nested calls are not answered yet.
+    Running {
+        ticket: Ticket,
+        since: Duration,
+        nested: Vec<RequestId>,
+        calls_left: u32,
+    },
+    Ended,
 }
 
 /// One attempt of a request at an upstream.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct UpstreamAttempt {
     pub request: RequestId,
     pub host: HostId,
-    /// The start of the upstream that it was sent to.
-    pub life: u32,
+    /// Incarnation of the upstream that the attempt was sent to.
+    pub incarnation: u32,
     pub key: UpstreamKey,
     pub demand: Demand,
-    pub sent: Duration,
-    /// Time of the way back.
-    pub back: Duration,
-    /// How long it may wait at the gate.
+    pub sent_at: Duration,
+    /// Network delay of the answer.
+    pub return_delay: Duration,
+    /// Longest expected wait at which the gate queues the attempt.
     pub max_wait: Duration,
     pub stage: Stage,
 }
 
 impl World {
-    pub(super) fn at_exit(&mut self, attempt: TryId) {
-        let Try { request, host, life, demand, max_wait, .. } = self.tries[attempt.0];
-        if self.tries[attempt.0].stage == Stage::Over {
+    pub(super) fn attempt_arrives(&mut self, attempt: AttemptId) {
+        let UpstreamAttempt { request, host, incarnation, demand, max_wait, .. } =
+            self.attempts[attempt.0];
+        if self.attempts[attempt.0].stage == Stage::Ended {
             return;
         }
         let state = &self.hosts[host.0];
-        if !state.up || state.life != life {
-            return self.answer(attempt, Got::Unreached);
+        if !state.upstream_up || state.incarnation != incarnation {
+            return self.send_result(attempt, AttemptResult::Unreached);
         }
         let now = self.now();
-        let objective = self.requests[request.0].first_came
+        let objective = self.requests[request.0].first_arrival
             + Duration::from_secs_f64(
                 self.kinds[self.requests[request.0].kind.0].1.objective_ms / 1e3,
             );
@@ -63,28 +72,28 @@
         match state.gate.admit(arrival, at, random) {
             Admission::Run(ticket) => {
                 state.tickets.insert(ticket, attempt);
-                self.run(attempt, ticket);
+                self.start_run(attempt, ticket);
             }
             Admission::Wait(ticket) => {
                 state.tickets.insert(ticket, attempt);
-                self.tries[attempt.0].stage = Stage::Waits(ticket);
+                self.attempts[attempt.0].stage = Stage::Queued(ticket);
             }
             Admission::Refuse(Refusal::Full { .. }) => {
-                let report = self.report(attempt);
-                self.answer(attempt, Got::Full { report });
+                let report = self.load_report(attempt);
+                self.send_result(attempt, AttemptResult::Full { report });
             }
             Admission::Refuse(refusal) => self.refuse(attempt, refusal.retry_after(), false),
         }
     }
 
-    fn refuse(&mut self, attempt: TryId, retry_after: Duration, arrived: bool) {
-        let report = self.report(attempt);
-        self.answer(attempt, Got::Refused { retry_after, arrived, report });
+    fn refuse(&mut self, attempt: AttemptId, retry_after: Duration, arrived: bool) {
+        let report = self.load_report(attempt);
+        self.send_result(attempt, AttemptResult::Refused { retry_after, arrived, report });
     }
 
-    /// Returns what the exit daemon tells of its upstream beside any answer.
-    fn report(&self, attempt: TryId) -> LoadReport {
-        let host = self.tries[attempt.0].host;
+    /// Returns the load report of the attempt's upstream, sent with each answer and refusal.
+    fn load_report(&self, attempt: AttemptId) -> LoadReport {
+        let host = self.attempts[attempt.0].host;
         let gate = &self.hosts[host.0].gate;
         LoadReport {
             load: Some((gate.running() + gate.queued()) as u16),
@@ -93,32 +102,33 @@
         }
     }
 
-    fn answer(&mut self, attempt: TryId, got: Got) {
-        self.tries[attempt.0].stage = Stage::Over;
-        let back = self.tries[attempt.0].back;
-        self.after(back, Event::Back(attempt, got));
+    fn send_result(&mut self, attempt: AttemptId, result: AttemptResult) {
+        self.attempts[attempt.0].stage = Stage::Ended;
+        let delay = self.attempts[attempt.0].return_delay;
+        self.schedule(delay, Event::ResultAtEntry(attempt, result));
     }
 
-    /// Begins work on an attempt that was let in.
-    fn run(&mut self, attempt: TryId, ticket: Ticket) {
-        let host = self.tries[attempt.0].host;
-        if self.rng.f64() < self.hosts[host.0].refuses {
+    /// Runs an attempt that the gate admitted, unless the upstream refuses it.
+    fn start_run(&mut self, attempt: AttemptId, ticket: Ticket) {
+        let host = self.attempts[attempt.0].host;
+        if self.rng.f64() < self.hosts[host.0].refuse_share {
             let retry_after = self.hosts[host.0].gate.mean_service_time();
             self.refuse(attempt, retry_after, true);
             return self.leave_gate(host, ticket, gate::End::Shed);
         }
         let since = self.now();
-        let kind = self.requests[self.tries[attempt.0].request.0].kind;
-        let left = match &self.kinds[kind.0].1.calls {
+        let kind = self.requests[self.attempts[attempt.0].request.0].kind;
+        let calls_left = match &self.kinds[kind.0].1.calls {
             Some(nested) if self.rng.f64() < nested.share => nested.times,
             _ => 0,
         };
-        self.tries[attempt.0].stage = Stage::Runs { ticket, since, nested: Vec::new(), left };
-        self.work(attempt);
+        self.attempts[attempt.0].stage =
+            Stage::Running { ticket, since, nested: Vec::new(), calls_left };
+        self.schedule_work(attempt);
     }
 
-    fn call_others(&mut self, attempt: TryId, times: u32) {
-        let Try { request, host, .. } = self.tries[attempt.0];
+    fn make_nested_calls(&mut self, attempt: AttemptId, times: u32) {
+        let UpstreamAttempt { request, host, .. } = self.attempts[attempt.0];
         let parent = self.requests[request.0].clone();
         let nested = self.kinds[parent.kind.0].1.calls.clone();
         let Some(kind) =
@@ -126,38 +136,40 @@
         else {
             return;
         };
-        let most = Duration::from_secs_f64(self.kinds[kind].1.deadline_ms / 1e3);
-        let until = parent.deadline.min(self.now() + most);
+        let own_deadline = Duration::from_secs_f64(self.kinds[kind].1.deadline_ms / 1e3);
+        let deadline = parent.deadline.min(self.now() + own_deadline);
         for _ in 0..times {
-            // One before it may have ended the run already.
-            if !matches!(self.tries[attempt.0].stage, Stage::Runs { .. }) {
+            // An earlier nested call may have failed at once and ended the run.
+            if !matches!(self.attempts[attempt.0].stage, Stage::Running { .. }) {
                 return;
             }
-            let id = self.enter(KindId(kind), host, Parent::Run(attempt), until);
-            if let Stage::Runs { nested, .. } = &mut self.tries[attempt.0].stage {
+            let id = self.start_request(KindId(kind), host, Parent::Run(attempt), deadline);
+            if let Stage::Running { nested, .. } = &mut self.attempts[attempt.0].stage {
                 nested.push(id);
             }
         }
     }
 
-    /// Takes in how a call that an upstream made has ended.
-    pub(super) fn nested_ends(&mut self, attempt: TryId, served: bool) {
-        let Stage::Runs { ticket, left, .. } = &mut self.tries[attempt.0].stage else { return };
+    /// Handles the end of a nested call: the run ends with its last one or with a failed one.
+    pub(super) fn nested_call_ended(&mut self, attempt: AttemptId, served: bool) {
+        let Stage::Running { ticket, calls_left, .. } = &mut self.attempts[attempt.0].stage else {
+            return;
+        };
         let ticket = *ticket;
         if served {
-            *left -= 1;
-            if *left == 0 {
-                self.end_work(attempt, ticket);
+            *calls_left -= 1;
+            if *calls_left == 0 {
+                self.complete_run(attempt, ticket);
             }
             return;
         }
         self.tally.wasted_runs += 1;
-        self.finish(attempt, ticket, false);
+        self.finish_run(attempt, ticket, false);
     }
 
-    fn work(&mut self, attempt: TryId) {
-        let host = self.tries[attempt.0].host;
-        let kind = self.requests[self.tries[attempt.0].request.0].kind;
+    fn schedule_work(&mut self, attempt: AttemptId) {
+        let host = self.attempts[attempt.0].host;
+        let kind = self.requests[self.attempts[attempt.0].request.0].kind;
         let spec = &self.kinds[kind.0].1;
         let (u, v) = (self.rng.f64().max(1e-12), self.rng.f64());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
@@ -166,44 +178,45 @@
         let state = &self.hosts[host.0];
         let cold_x = self.services[state.service].1.cold_x;
         let cold = if self.now() < state.cold_until { cold_x } else { 1.0 };
-        let ms = spec.work_ms * spread * tail * state.speed * state.slow * cold;
-        self.after(Duration::from_secs_f64(ms / 1e3), Event::Worked(attempt));
+        let ms = spec.work_ms * spread * tail * state.speed * state.slowdown * cold;
+        self.schedule(Duration::from_secs_f64(ms / 1e3), Event::WorkDone(attempt));
     }
 
-    pub(super) fn worked(&mut self, attempt: TryId) {
-        match self.tries[attempt.0].stage {
-            Stage::Runs { ticket, left: 0, .. } => self.end_work(attempt, ticket),
-            Stage::Runs { left, .. } => self.call_others(attempt, left),
+    pub(super) fn work_done(&mut self, attempt: AttemptId) {
+        match self.attempts[attempt.0].stage {
+            Stage::Running { ticket, calls_left: 0, .. } => self.complete_run(attempt, ticket),
+            Stage::Running { calls_left, .. } => self.make_nested_calls(attempt, calls_left),
             _ => {}
         }
     }
 
-    /// Ends a run whose work and calls are done, with an answer that may be lost.
-    fn end_work(&mut self, attempt: TryId, ticket: Ticket) {
-        let host = self.tries[attempt.0].host;
-        if self.rng.f64() < self.hosts[host.0].loses {
-            self.answer(attempt, Got::Broken);
+    /// Ends a run whose work and nested calls are done; its answer may be lost.
+    fn complete_run(&mut self, attempt: AttemptId, ticket: Ticket) {
+        let host = self.attempts[attempt.0].host;
+        if self.rng.f64() < self.hosts[host.0].lose_share {
+            self.send_result(attempt, AttemptResult::Incomplete);
             return self.leave_gate(host, ticket, gate::End::Failed);
         }
-        let good = self.rng.f64() >= self.hosts[host.0].fails;
-        self.finish(attempt, ticket, good);
+        let good = self.rng.f64() >= self.hosts[host.0].fail_share;
+        self.finish_run(attempt, ticket, good);
     }
 
     /// Ends a run with an answer.
-    fn finish(&mut self, attempt: TryId, ticket: Ticket, good: bool) {
-        let host = self.tries[attempt.0].host;
-        let took = self.stop_nested(attempt);
-        let report = self.report(attempt);
-        self.answer(attempt, Got::Answer { good, service: took, report });
-        self.leave_gate(host, ticket, gate::End::Answered(took));
+    fn finish_run(&mut self, attempt: AttemptId, ticket: Ticket, good: bool) {
+        let host = self.attempts[attempt.0].host;
+        let service_time = self.cancel_nested(attempt);
+        let report = self.load_report(attempt);
+        self.send_result(attempt, AttemptResult::Answer { good, service: service_time, report });
+        self.leave_gate(host, ticket, gate::End::Answered(service_time));
     }
 
-    /// Ends the calls that a run has under way; returns how long it ran.
-    fn stop_nested(&mut self, attempt: TryId) -> Duration {
-        let stage = std::mem::replace(&mut self.tries[attempt.0].stage, Stage::Over);
-        let Stage::Runs { since, nested, .. } = stage else { return Duration::ZERO };
+    /// Marks an attempt as ended and cancels its nested calls; returns how long it ran, zero
+    /// if it did not.
+    fn cancel_nested(&mut self, attempt: AttemptId) -> Duration {
+        let stage = std::mem::replace(&mut self.attempts[attempt.0].stage, Stage::Ended);
+        let Stage::Running { since, nested, .. } = stage else { return Duration::ZERO };
         for request in nested {
-            if self.is_open(request) {
+            if self.is_pending(request) {
                 self.end(request, End::Left);
             }
         }
@@ -215,18 +228,18 @@
         let state = &mut self.hosts[host.0];
         state.tickets.remove(&ticket);
         let wakes = state.gate.ended(ticket, end, now);
-        self.wake(host, wakes);
+        self.apply_wakes(host, wakes);
     }
 
-    /// Carries out what a gate decided about those that wait.
-    pub(super) fn wake(&mut self, host: HostId, wakes: Vec<Wake>) {
+    /// Applies the decisions of a gate about queued attempts.
+    pub(super) fn apply_wakes(&mut self, host: HostId, wakes: Vec<Wake>) {
         for wake in wakes {
             let ticket = match wake {
                 Wake::Run(ticket) | Wake::Refuse(ticket, _) => ticket,
             };
             let Some(attempt) = self.hosts[host.0].tickets.get(&ticket).copied() else { continue };
             match wake {
-                Wake::Run(_) => self.run(attempt, ticket),
+                Wake::Run(_) => self.start_run(attempt, ticket),
                 Wake::Refuse(_, refusal) => {
                     self.hosts[host.0].tickets.remove(&ticket);
                     self.refuse(attempt, refusal.retry_after(), false);
@@ -235,32 +248,33 @@
         }
     }
 
-    pub(super) fn given_up(&mut self, attempt: TryId) {
-        let host = self.tries[attempt.0].host;
-        match self.tries[attempt.0].stage.clone() {
-            Stage::OnWay => self.tries[attempt.0].stage = Stage::Over,
-            Stage::Waits(ticket) => {
-                self.tries[attempt.0].stage = Stage::Over;
+    pub(super) fn attempt_cancelled(&mut self, attempt: AttemptId) {
+        let host = self.attempts[attempt.0].host;
+        match self.attempts[attempt.0].stage.clone() {
+            Stage::InTransit => self.attempts[attempt.0].stage = Stage::Ended,
+            Stage::Queued(ticket) => {
+                self.attempts[attempt.0].stage = Stage::Ended;
                 self.hosts[host.0].tickets.remove(&ticket);
                 self.hosts[host.0].gate.cancel(ticket);
             }
-            Stage::Runs { ticket, .. } => {
+            Stage::Running { ticket, .. } => {
                 self.tally.wasted_runs += 1;
-                self.stop_nested(attempt);
+                self.cancel_nested(attempt);
                 self.leave_gate(host, ticket, gate::End::Failed);
             }
-            Stage::Over => {}
+            Stage::Ended => {}
         }
     }
 
-    /// Breaks off all that an upstream has in hand.
-    pub(super) fn break_all(&mut self, host: HostId) {
-        let held: Vec<TryId> = self.hosts[host.0].tickets.drain().map(|(_, held)| held).collect();
+    /// Aborts all attempts that run or are queued at an upstream.
+    pub(super) fn abort_all(&mut self, host: HostId) {
+        let aborted: Vec<AttemptId> =
+            self.hosts[host.0].tickets.drain().map(|(_, aborted)| aborted).collect();
         let slots = self.services[self.hosts[host.0].service].1.slots;
         self.hosts[host.0].gate = Gate::new(u32::from(slots));
-        for attempt in held {
-            self.stop_nested(attempt);
-            self.answer(attempt, Got::Broken);
+        for attempt in aborted {
+            self.cancel_nested(attempt);
+            self.send_result(attempt, AttemptResult::Incomplete);
         }
     }
 }
--- a/crates/measure/src/load/mod.rs
+++ b/crates/measure/src/load/mod.rs
@@ -1,18 +1,19 @@
-//! `load`: policies of the request path under modelled load, on a virtual clock.
+//! `load`: simulates the policies of the request path under load, on a virtual clock.
 //!
-//! The choice of upstreams, the gate, the retries and the memory for returning callers
-//! are the product's own code (`crates/core`). Callers, upstreams and the ways between
-//! are modelled; nothing has a socket. A deployment is a file of `testdata/load/`; the
-//! same file and seed give the same figures on every machine.
+//! The load balancer, the gate, the retry decisions and the detection of returning callers are
+//! the code of the daemon itself (`crates/core`). Callers, upstreams and network delays are
+//! modelled; there are no sockets. A deployment is a file of `testdata/load/`; the same file
+//! and seed give the same figures on every machine, except with some faults (see below).
 //!
 //! # Limits
 //!
-//! Where a deployment names no processor time for a message, the daemons' own time is a
-//! constant part of the ways. Bytes cost nothing. All
-//! daemons hear of a change in membership at the same moment. Failure domains are never
-//! cut. Hosts that fall silent are not modelled: an upstream that is down refuses
-//! connections. `docs/MEASUREMENTS.md` says how far the model ranks policies as played
-//! days do.
+//! Where a deployment sets no processor time per message, the time that daemons need is a
+//! constant part of the network delays. The size of messages has no effect. All daemons receive
+//! a change in membership at the same moment. There are no partitions between failure domains.
+//! Silent hosts are not modelled: an upstream that is down refuses connections. With the faults
+//! `down` and `restart`, figures differ between runs with the same seed: the attempts that they
+//! abort end in the iteration order of a `HashMap`.
+//! `docs/MEASUREMENTS.md` says how far the model ranks policies as played days do.
 
 mod caller;
 mod deployment;
@@ -31,36 +32,36 @@
 use tally::Tally;
 use world::World;
 
-/// What is asked of the model.
+/// Options of a simulation.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// The deployment.
+    /// The deployment file.
     pub file: PathBuf,
-    /// Seeds to play, from one on.
+    /// Number of seeds to simulate, starting at seed one.
     pub seeds: u64,
     /// Decisions to switch off, separated by commas.
     pub without: Option<String>,
-    /// Where to draw the share earned by second.
+    /// Path of a plot of the share of worth earned, by second of arrival.
     pub svg: Option<PathBuf>,
 }
 
-/// Decisions that can be switched off.
+/// Switches for the decisions of the request path.
 #[derive(Clone, Copy, Debug)]
 pub struct Switches {
-    /// Those of the choice of upstreams.
+    /// Decisions of the load balancer.
     pub choice: Policy,
-    /// Second attempts beside late ones.
-    pub second: bool,
-    /// Callers that come back are known.
+    /// Whether hedged attempts are sent beside late ones.
+    pub hedge: bool,
+    /// Whether returning callers are recognized.
     pub returning: bool,
-    /// Hosts are asked for a free slot before a call waits.
+    /// Whether hosts are asked for a free slot before a call is queued.
     pub ask_free: bool,
 }
 
-/// Why the model cannot be run.
+/// Why a simulation cannot be run.
 #[derive(Debug)]
 pub enum LoadError {
-    /// The deployment.
+    /// The deployment is invalid.
     Deployment(DeploymentError),
     /// No decision has this name.
     Decision(String),
@@ -80,19 +81,20 @@
 
 impl std::error::Error for LoadError {}
 
-/// Plays the seeds and returns the summary.
+/// Simulates a deployment with each seed and returns the summary.
 ///
 /// # Errors
 ///
-/// Returns why it cannot be played.
+/// Returns an error if the deployment is invalid, a decision to switch off does not exist or
+/// the plot cannot be written.
 pub fn run(options: &LoadOptions) -> Result<Value, LoadError> {
     let deployment = Deployment::read(&options.file).map_err(LoadError::Deployment)?;
-    let switches = Switches::without(options.without.as_deref())?;
-    let runs = play_all(&deployment, switches, options.seeds);
+    let switches = Switches::all_but(options.without.as_deref())?;
+    let runs = simulate_all(&deployment, switches, options.seeds);
     let shares: Vec<f64> = runs.iter().map(|run| run.all.share()).collect();
     let mean = shares.iter().sum::<f64>() / shares.len().max(1) as f64;
-    let off = shares.iter().map(|share| (share - mean).powi(2)).sum::<f64>();
-    let spread = (off / (shares.len().max(2) - 1) as f64).sqrt();
+    let squared_deviations = shares.iter().map(|share| (share - mean).powi(2)).sum::<f64>();
+    let deviation = (squared_deviations / (shares.len().max(2) - 1) as f64).sqrt();
     let mut runs = runs.into_iter();
     let Some(mut total) = runs.next() else { return Ok(json!({})) };
     runs.for_each(|run| total.merge(&run));
@@ -100,26 +102,26 @@
         plot::draw(path, &total).map_err(LoadError::Plot)?;
     }
     let mut summary = total.to_json();
-    summary["file"] = name_of(&options.file).into();
+    summary["file"] = deployment_name(&options.file).into();
     summary["seeds"] = options.seeds.into();
     summary["without"] = options.without.clone().into();
     summary["share_mean"] = round(mean).into();
-    summary["share_deviation"] = round(spread).into();
+    summary["share_deviation"] = round(deviation).into();
     Ok(summary)
 }
 
-/// Plays each seed, as many at once as the machine has processors to spare.
-fn play_all(deployment: &Deployment, switches: Switches, seeds: u64) -> Vec<Tally> {
+/// Simulates each seed, on half of the processors of the machine.
+fn simulate_all(deployment: &Deployment, switches: Switches, seeds: u64) -> Vec<Tally> {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get().div_ceil(2));
     let next = std::sync::atomic::AtomicU64::new(1);
     let worker = || {
-        let mut played = Vec::new();
+        let mut results = Vec::new();
         loop {
             let seed = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             if seed > seeds {
-                return played;
+                return results;
             }
-            played.push((seed, World::new(deployment.clone(), switches, seed).play()));
+            results.push((seed, World::new(deployment.clone(), switches, seed).simulate()));
         }
     };
     let mut runs: Vec<(u64, Tally)> = std::thread::scope(|scope| {
@@ -130,21 +132,21 @@
     runs.into_iter().map(|(_, run)| run).collect()
 }
 
-fn name_of(path: &Path) -> String {
+fn deployment_name(path: &Path) -> String {
     path.file_stem().map_or_else(String::new, |name| name.to_string_lossy().into_owned())
 }
 
 impl Switches {
-    fn without(decisions: Option<&str>) -> Result<Switches, LoadError> {
-        let mut on =
-            Switches { choice: Policy::ALL, second: true, returning: true, ask_free: true };
+    fn all_but(decisions: Option<&str>) -> Result<Switches, LoadError> {
+        let mut switches =
+            Switches { choice: Policy::ALL, hedge: true, returning: true, ask_free: true };
         for decision in decisions.into_iter().flat_map(|names| names.split(',')) {
-            *on.of(decision)? = false;
+            *switches.switch(decision)? = false;
         }
-        Ok(on)
+        Ok(switches)
     }
 
-    fn of(&mut self, decision: &str) -> Result<&mut bool, LoadError> {
+    fn switch(&mut self, decision: &str) -> Result<&mut bool, LoadError> {
         Ok(match decision {
             "compare" => &mut self.choice.compare,
             "prefer_near" => &mut self.choice.prefer_near,
@@ -156,7 +158,7 @@
             "subset" => &mut self.choice.subset,
             "refusals" => &mut self.choice.refusals,
             "ask_free" => &mut self.ask_free,
-            "second" => &mut self.second,
+            "second" => &mut self.hedge,
             "returning" => &mut self.returning,
             other => return Err(LoadError::Decision(other.to_string())),
         })
--- a/crates/measure/src/load/plot.rs
+++ b/crates/measure/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! The share of worth earned by second, as an SVG.
+//! Plot of the share of worth earned, by second of arrival, as an SVG.
 
 use super::tally::Tally;
 use plotters::prelude::*;
@@ -6,11 +6,11 @@
 
 const SIZE: (u32, u32) = (900, 300);
 
-/// Draws a run.
+/// Draws the plot.
 ///
 /// # Errors
 ///
-/// Returns what the drawing library says.
+/// Returns the error of the drawing library.
 pub fn draw(path: &Path, tally: &Tally) -> Result<(), String> {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(|err| err.to_string())?;
--- a/crates/measure/src/load/tally.rs
+++ b/crates/measure/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! What became of the callers of a run, by kind, failure domain and second.
+//! Counts how the callers of a run ended, by kind, failure domain and second of arrival.
 
 use super::caller::{Caller, End};
 use super::deployment::Kind;
@@ -6,8 +6,8 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Longest time that the histograms tell apart, in milliseconds.
-const LONGEST_MS: u64 = 60_000;
+/// Largest latency in the histograms, in milliseconds; longer ones are recorded as this one.
+const MAX_LATENCY_MS: u64 = 60_000;
 
 /// Counts of callers by how they ended.
 #[derive(Clone, Copy, Debug, Default)]
@@ -17,15 +17,16 @@
     pub refused: u64,
     pub failed: u64,
     pub left: u64,
-    /// What their answers were worth, and what they could have been.
+    /// Total worth of the answers.
     pub earned: f64,
-    pub owed: f64,
+    /// Worth if all callers that did not disconnect had been answered in time.
+    pub possible: f64,
 }
 
 impl Counts {
     fn add(&mut self, caller: &Caller, spec: &Kind, end: End, in_time: bool) {
-        let owes = if end == End::Left { 0.0 } else { spec.worth };
-        self.owed += owes;
+        let worth = if end == End::Left { 0.0 } else { spec.worth };
+        self.possible += worth;
         match (end, in_time) {
             (End::Served, true) => {
                 self.in_time += 1;
@@ -49,12 +50,12 @@
         self.failed += other.failed;
         self.left += other.left;
         self.earned += other.earned;
-        self.owed += other.owed;
+        self.possible += other.possible;
     }
 
-    /// Returns the share of the worth that was earned.
+    /// Returns the share of the possible worth that was earned.
     pub fn share(&self) -> f64 {
-        if self.owed > 0.0 { self.earned / self.owed } else { 1.0 }
+        if self.possible > 0.0 { self.earned / self.possible } else { 1.0 }
     }
 
     fn to_json(self) -> Value {
@@ -69,35 +70,35 @@
 /// Everything counted in one run, or in several.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    names: Vec<String>,
+    kind_names: Vec<String>,
     pub by_kind: Vec<Counts>,
     pub by_domain: Vec<Counts>,
     pub by_second: Vec<Counts>,
     pub all: Counts,
-    /// Runs whose answer nobody got, or that ended because a call of theirs did.
+    /// Runs that were cancelled, or that failed because a nested call did.
     pub wasted_runs: u64,
-    times: Vec<Histogram<u64>>,
+    latencies: Vec<Histogram<u64>>,
 }
 
 impl Tally {
-    /// Makes an empty one.
+    /// Creates an empty tally.
     pub fn new(kinds: &[(String, Kind)], domains: usize, seconds: f64) -> Tally {
-        let histogram = || Histogram::new_with_max(LONGEST_MS, 3).expect("bounds are valid");
+        let histogram = || Histogram::new_with_max(MAX_LATENCY_MS, 3).expect("bounds are valid");
         Tally {
-            names: kinds.iter().map(|(name, _)| name.clone()).collect(),
+            kind_names: kinds.iter().map(|(name, _)| name.clone()).collect(),
             by_kind: vec![Counts::default(); kinds.len()],
             by_domain: vec![Counts::default(); domains],
             by_second: vec![Counts::default(); seconds.ceil() as usize],
             all: Counts::default(),
             wasted_runs: 0,
-            times: kinds.iter().map(|_| histogram()).collect(),
+            latencies: kinds.iter().map(|_| histogram()).collect(),
         }
     }
 
-    /// Counts a caller.
-    pub fn add(&mut self, caller: &Caller, spec: &Kind, end: End, took: Duration) {
-        let in_time = took.as_secs_f64() * 1e3 <= spec.objective_ms;
-        let second = (caller.came.as_secs() as usize).min(self.by_second.len() - 1);
+    /// Records how a caller ended and, if it was served, its latency.
+    pub fn add(&mut self, caller: &Caller, spec: &Kind, end: End, latency: Duration) {
+        let in_time = latency.as_secs_f64() * 1e3 <= spec.objective_ms;
+        let second = (caller.arrived_at.as_secs() as usize).min(self.by_second.len() - 1);
         let counts = [
             &mut self.all,
             &mut self.by_kind[caller.kind.0],
@@ -108,11 +109,11 @@
             counts.add(caller, spec, end, in_time);
         }
         if end == End::Served {
-            self.times[caller.kind.0].saturating_record(took.as_millis() as u64);
+            self.latencies[caller.kind.0].saturating_record(latency.as_millis() as u64);
         }
     }
 
-    /// Takes in the counts of another run.
+    /// Adds the counts of another run.
     pub fn merge(&mut self, other: &Tally) {
         let pairs = [
             (&mut self.by_kind, &other.by_kind),
@@ -124,20 +125,20 @@
         }
         self.all.merge(&other.all);
         self.wasted_runs += other.wasted_runs;
-        for (own, other) in self.times.iter_mut().zip(&other.times) {
+        for (own, other) in self.latencies.iter_mut().zip(&other.latencies) {
             own.add(other).expect("all histograms have the same bounds");
         }
     }
 
-    /// Returns all of it for the summary.
+    /// Returns the counts for the summary.
     pub fn to_json(&self) -> Value {
-        let kinds: serde_json::Map<String, Value> = (0..self.names.len())
-            .filter(|kind| self.by_kind[*kind].owed > 0.0)
+        let kinds: serde_json::Map<String, Value> = (0..self.kind_names.len())
+            .filter(|kind| self.by_kind[*kind].possible > 0.0)
             .map(|kind| {
                 let mut counts = self.by_kind[kind].to_json();
-                counts["p50_ms"] = self.times[kind].value_at_quantile(0.5).into();
-                counts["p99_ms"] = self.times[kind].value_at_quantile(0.99).into();
-                (self.names[kind].clone(), counts)
+                counts["p50_ms"] = self.latencies[kind].value_at_quantile(0.5).into();
+                counts["p99_ms"] = self.latencies[kind].value_at_quantile(0.99).into();
+                (self.kind_names[kind].clone(), counts)
             })
             .collect();
         let shares = |counts: &[Counts]| -> Vec<f64> {
--- a/crates/measure/src/load/world.rs
+++ b/crates/measure/src/load/world.rs
@@ -1,7 +1,7 @@
-//! The state of one run and its clock: what happens next, and to whom.
+//! State, virtual clock and event queue of one run.
 
 use super::Switches;
-use super::deployment::{Deployment, Kind, Service, Trouble, What};
+use super::deployment::{Deployment, Fault, FaultKind, Kind, Service};
 use super::tally::Tally;
 use cicadashift_core::ids::HostKey;
 use cicadashift_core::membership::record::Readiness;
@@ -13,18 +13,18 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Time between two looks of a daemon at its queue, as `src/daemon/gates.rs` has it.
+/// Interval at which a daemon checks its queue, as in `src/daemon/gates/mod.rs`.
 const GATE_TICK: Duration = Duration::from_millis(250);
-/// Time in which an upstream that started reports itself: reports come about as often.
-const REPORT_EVERY: Duration = Duration::from_millis(1500);
-/// Share of the retries allowed that a daemon makes, as `src/daemon/services.rs` has it.
+/// Longest time until a started upstream is announced: about the interval of reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1500);
+/// Fraction of the allowed retry ratio that daemons use, as in `src/daemon/services.rs`.
 const SAFE_SHARE: f64 = 0.5;
-/// Share of the slack, as there.
+/// Fraction of the slack that daemons use, as in `src/daemon/services.rs`.
 const SLACK_SHARE: f64 = 0.25;
-/// Time for which retries that were earned may be saved, as there for a window of 10 s.
+/// Time for which earned retries are saved, as in `src/daemon/services.rs` for a window of 10 s.
 const SAVED_FOR: Duration = Duration::from_secs(1);
-/// How long a run goes on after the last new caller, so that all are answered.
-const DRAIN: Duration = Duration::from_secs(8);
+/// How long a run continues after the last new caller, so that all are answered.
+const DRAIN_TIME: Duration = Duration::from_secs(8);
 
 /// Index of a host, with its daemon and its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,100 +32,107 @@
 /// Index of a kind of call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KindId(pub usize);
-/// Index of a caller with one thing to ask.
+/// Index of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerId(pub usize);
-/// Index of a request as an entry daemon got it.
+/// Index of a request at its entry daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestId(pub usize);
 /// Index of one attempt of a request at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct TryId(pub usize);
+pub struct AttemptId(pub usize);
 
-/// What happens at a moment.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A caller comes for the first time.
-    Comes { kind: KindId, domain: usize },
+    /// A new caller arrives.
+    CallerArrives { kind: KindId, domain: usize },
     /// A caller's request reaches its entry daemon.
     AtEntry(CallerId),
     /// An attempt reaches the exit daemon.
-    AtExit(TryId),
-    /// The exit daemon sees that an attempt was given up.
-    GivenUp(TryId),
-    /// An upstream has done its work.
-    Worked(TryId),
-    /// The entry daemon hears what became of an attempt.
-    Back(TryId, super::entry::Got),
-    /// A second attempt may be due.
-    Late(TryId),
-    /// A request's time is over.
+    AtExit(AttemptId),
+    /// The cancellation of an attempt reaches its exit daemon.
+    AttemptCancelled(AttemptId),
+    /// An upstream has finished its own work on an attempt; nested calls follow.
+    WorkDone(AttemptId),
+    /// The result of an attempt reaches its entry daemon.
+    ResultAtEntry(AttemptId, super::entry::AttemptResult),
+    /// An attempt is late; a hedged attempt may be sent.
+    HedgeDue(AttemptId),
+    /// The deadline of a request has passed.
     Deadline(RequestId),
-    /// A caller leaves without waiting.
-    Leaves(RequestId),
-    /// A daemon looks at its queue.
+    /// A caller disconnects before its answer.
+    CallerLeaves(RequestId),
+    /// A daemon checks its queue.
     Tick(HostId),
-    /// A trouble begins or ends.
-    Trouble { index: usize, begins: bool },
-    /// An upstream that started reports itself.
-    Reports(HostId),
-    /// Membership has told what changed.
-    News,
+    /// A fault begins or ends.
+    Fault { index: usize, begins: bool },
+    /// A started upstream is announced.
+    UpstreamAnnounced(HostId),
+    /// All daemons receive a change in membership.
+    MembershipUpdate,
 }
 
-struct Due {
+struct ScheduledEvent {
     at: Duration,
-    number: u64,
+    /// Order of events at the same time.
+    sequence: u64,
     event: Event,
-    /// Whether a daemon's processor time for it has passed.
-    is_paid: bool,
+    /// Whether the daemon's processor time for the event has passed.
+    is_processed: bool,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         self.key() == other.key()
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
         self.key().cmp(&other.key())
     }
 }
-impl Due {
+impl ScheduledEvent {
     fn key(&self) -> (Duration, u64) {
-        (self.at, self.number)
+        (self.at, self.sequence)
     }
 }
 
-/// One host: the daemon's state of both sides, and its upstream.
+/// One host: its daemon, which is entry and exit daemon, and its upstream.
 pub struct Host {
     pub domain: usize,
     pub service: usize,
     pub speed: f64,
     /// Whether the upstream can be reached.
-    pub up: bool,
+    pub upstream_up: bool,
     /// Whether callers can reach the daemon.
-    pub open: bool,
-    /// Whether others know of it.
+    pub daemon_up: bool,
+    /// Whether membership lists the upstream.
     pub announced: bool,
     pub cold_until: Duration,
-    /// Raised with each start, so that a new start is another upstream.
-    pub life: u32,
-    /// Share of a processor that the daemon has, and until when that is taken.
+    /// Incremented with each start, so that a restarted upstream counts as another one.
+    pub incarnation: u32,
+    /// Share of a processor that the daemon has.
     pub processor_share: f64,
-    pub processor_free: Duration,
+    /// When the daemon will have processed the messages received so far.
+    pub processor_free_at: Duration,
     pub gate: Gate,
-    pub tickets: HashMap<Ticket, TryId>,
-    pub refuses: f64,
-    pub fails: f64,
-    pub loses: f64,
-    pub slow: f64,
+    /// Attempts that run or are queued, by their ticket at the gate.
+    pub tickets: HashMap<Ticket, AttemptId>,
+    /// Shares of the calls that the upstream refuses, answers with a failure, or runs without
+    /// delivering the answer; set by faults.
+    pub refuse_share: f64,
+    pub fail_share: f64,
+    pub lose_share: f64,
+    /// Factor on the service times, set by faults.
+    pub slowdown: f64,
+    /// Load balancers and retry budgets of the entry daemon, by service.
     pub pickers: Vec<Picker>,
     pub budgets: Vec<RetryBudget>,
     pub returning: ReturningCallers,
@@ -140,20 +147,24 @@
     pub hosts: Vec<Host>,
     pub callers: Vec<super::caller::Caller>,
     pub requests: Vec<super::entry::Request>,
-    pub tries: Vec<super::exit::Try>,
+    pub attempts: Vec<super::exit::UpstreamAttempt>,
     pub tally: Tally,
     pub rng: fastrand::Rng,
-    pub burst: f64,
-    pub leave: f64,
+    /// Factor on the number of new callers.
+    pub burst_factor: f64,
+    /// Share of the callers that disconnect after half of their objective.
+    pub leave_share: f64,
+    /// Share of impatient callers, and the factor on the retries that they make.
     pub impatient: (f64, f64),
+    /// The `Instant` at which virtual time is zero.
     base: Instant,
     now: Duration,
-    queue: BinaryHeap<Reverse<Due>>,
-    numbers: u64,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    last_sequence: u64,
 }
 
 impl World {
-    /// Makes a run with warm upstreams that everybody knows.
+    /// Creates a run with warm upstreams that all daemons know.
     pub fn new(deployment: Deployment, switches: Switches, seed: u64) -> World {
         let kinds: Vec<_> = deployment.kind.clone().into_iter().collect();
         let services: Vec<_> = deployment.service.clone().into_iter().collect();
@@ -165,27 +176,27 @@
             hosts: Vec::new(),
             callers: Vec::new(),
             requests: Vec::new(),
-            tries: Vec::new(),
+            attempts: Vec::new(),
             tally,
             rng: fastrand::Rng::with_seed(seed),
-            burst: 1.0,
-            leave: 0.0,
+            burst_factor: 1.0,
+            leave_share: 0.0,
             impatient: (0.0, 1.0),
             base: Instant::now(),
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
-            numbers: 0,
+            last_sequence: 0,
             deployment,
         };
         world.add_hosts();
-        world.spread_news();
-        world.plan();
+        world.update_membership();
+        world.schedule_initial_events();
         world
     }
 
-    /// Plays it to its end.
-    pub fn play(mut self) -> Tally {
-        let end = Duration::from_secs_f64(self.deployment.seconds) + DRAIN;
+    /// Simulates the run to its end.
+    pub fn simulate(mut self) -> Tally {
+        let end = Duration::from_secs_f64(self.deployment.seconds) + DRAIN_TIME;
         while let Some(Reverse(due)) = self.queue.pop() {
             if due.at > end {
                 break;
@@ -199,64 +210,71 @@
         self.tally
     }
 
-    /// Returns the time since the beginning.
+    /// Returns the virtual time since the beginning of the run.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Returns a moment in the form that the product's decisions take.
+    /// Converts a virtual time to the `Instant` that the functions of `cicadashift_core` take.
     pub fn instant(&self, at: Duration) -> Instant {
         self.base + at
     }
 
-    /// Lets something happen after a time.
-    pub fn after(&mut self, wait: Duration, event: Event) {
+    /// Schedules an event after a time.
+    pub fn schedule(&mut self, wait: Duration, event: Event) {
         self.push(wait, event, false);
     }
 
-    fn push(&mut self, wait: Duration, event: Event, is_paid: bool) {
-        self.numbers += 1;
-        let due = Due { at: self.now + wait, number: self.numbers, event, is_paid };
+    fn push(&mut self, wait: Duration, event: Event, is_processed: bool) {
+        self.last_sequence += 1;
+        let due = ScheduledEvent {
+            at: self.now + wait,
+            sequence: self.last_sequence,
+            event,
+            is_processed,
+        };
         self.queue.push(Reverse(due));
     }
 
-    /// Returns after what time a daemon has dealt with a message, in the order of their
-    /// arrival; `None` where that takes no time.
-    fn processor_time(&mut self, due: &Due) -> Option<Duration> {
+    /// Returns the time until a daemon has processed a message, in order of arrival; `None` for
+    /// an event that takes no processor time.
+    fn processor_time(&mut self, due: &ScheduledEvent) -> Option<Duration> {
         let message = Duration::from_secs_f64(self.deployment.message_us / 1e6);
-        if due.is_paid || message.is_zero() {
+        if due.is_processed || message.is_zero() {
             return None;
         }
         let daemon = match due.event {
             Event::AtEntry(caller) => self.callers[caller.0].entry,
-            Event::AtExit(attempt) | Event::Worked(attempt) => self.tries[attempt.0].host,
-            Event::Back(attempt, _) => self.requests[self.tries[attempt.0].request.0].entry,
+            Event::AtExit(attempt) | Event::WorkDone(attempt) => self.attempts[attempt.0].host,
+            Event::ResultAtEntry(attempt, _) => {
+                self.requests[self.attempts[attempt.0].request.0].entry
+            }
             _ => return None,
         };
         let now = self.now;
         let host = &mut self.hosts[daemon.0];
-        let done = host.processor_free.max(now) + message.div_f64(host.processor_share);
-        host.processor_free = done;
+        let done = host.processor_free_at.max(now) + message.div_f64(host.processor_share);
+        host.processor_free_at = done;
         Some(done - now)
     }
 
-    /// Returns a time for one way between two hosts.
-    pub fn way(&mut self, from: HostId, to: HostId) -> Duration {
+    /// Draws a network delay from one host to another.
+    pub fn one_way_delay(&mut self, from: HostId, to: HostId) -> Duration {
         if from == to {
             return Duration::ZERO;
         }
-        let ways = &self.deployment.ways;
+        let delays = &self.deployment.ways;
         let far = self.hosts[from.0].domain != self.hosts[to.0].domain;
-        let ms = ways.near_ms * (0.5 + 0.5 * -self.rng.f64().max(1e-9).ln());
-        Duration::from_secs_f64((ms + if far { ways.far_ms } else { 0.0 }) / 1e3)
+        let ms = delays.near_ms * (0.5 + 0.5 * -self.rng.f64().max(1e-9).ln());
+        Duration::from_secs_f64((ms + if far { delays.far_ms } else { 0.0 }) / 1e3)
     }
 
-    /// Returns the index of a service by its name; the deployment was checked.
-    pub fn service_of(&self, name: &str) -> usize {
+    /// Returns the index of a service by its name, which exists in a validated deployment.
+    pub fn service_index(&self, name: &str) -> usize {
         self.services.iter().position(|(service, _)| service == name).unwrap_or(0)
     }
 
-    /// Returns the retries that one daemon may add for a service.
+    /// Returns the retries that one daemon may make for a service.
     pub fn allowance(&self) -> Allowance {
         let daemons = self.hosts.len().max(1) as f64;
         Allowance {
@@ -270,27 +288,27 @@
         for index in 0..self.services.len() {
             let service = self.services[index].1.clone();
             let domains = service.upstreams.iter().enumerate();
-            let places: Vec<usize> =
+            let host_domains: Vec<usize> =
                 domains.flat_map(|(domain, count)| vec![domain; *count]).collect();
-            for (number, domain) in places.into_iter().enumerate() {
-                let speed = service.speeds[number % service.speeds.len()];
+            for (position, domain) in host_domains.into_iter().enumerate() {
+                let speed = service.speeds[position % service.speeds.len()];
                 self.hosts.push(Host {
                     domain,
                     service: index,
                     speed,
-                    up: true,
-                    open: true,
+                    upstream_up: true,
+                    daemon_up: true,
                     announced: true,
                     cold_until: Duration::ZERO,
-                    life: 0,
-                    processor_share: service.shares[number % service.shares.len()],
-                    processor_free: Duration::ZERO,
+                    incarnation: 0,
+                    processor_share: service.shares[position % service.shares.len()],
+                    processor_free_at: Duration::ZERO,
                     gate: Gate::new(u32::from(service.slots)),
                     tickets: HashMap::new(),
-                    refuses: 0.0,
-                    fails: 0.0,
-                    loses: 0.0,
-                    slow: 1.0,
+                    refuse_share: 0.0,
+                    fail_share: 0.0,
+                    lose_share: 0.0,
+                    slowdown: 1.0,
                     pickers: Vec::new(),
                     budgets: Vec::new(),
                     returning: ReturningCallers::default(),
@@ -305,157 +323,159 @@
         }
     }
 
-    fn plan(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for kind in 0..self.kinds.len() {
             for domain in 0..self.deployment.domains {
-                self.next_caller(KindId(kind), domain);
+                self.schedule_next_caller(KindId(kind), domain);
             }
         }
         for host in 0..self.hosts.len() {
-            self.after(GATE_TICK, Event::Tick(HostId(host)));
+            self.schedule(GATE_TICK, Event::Tick(HostId(host)));
         }
         for index in 0..self.deployment.trouble.len() {
-            let Trouble { at_s, for_s, .. } = self.deployment.trouble[index];
+            let Fault { at_s, for_s, .. } = self.deployment.trouble[index];
             let (begin, end) =
                 (Duration::from_secs_f64(at_s), Duration::from_secs_f64(at_s + for_s));
-            self.after(begin, Event::Trouble { index, begins: true });
-            self.after(end, Event::Trouble { index, begins: false });
+            self.schedule(begin, Event::Fault { index, begins: true });
+            self.schedule(end, Event::Fault { index, begins: false });
         }
     }
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Comes { kind, domain } => self.caller_comes(kind, domain),
-            Event::AtEntry(caller) => self.caller_asks(caller),
-            Event::AtExit(attempt) => self.at_exit(attempt),
-            Event::GivenUp(attempt) => self.given_up(attempt),
-            Event::Worked(attempt) => self.worked(attempt),
-            Event::Back(attempt, got) => self.back(attempt, got),
-            Event::Late(attempt) => self.late(attempt),
-            Event::Deadline(request) => self.deadline(request),
-            Event::Leaves(request) => self.caller_leaves(request),
+            Event::CallerArrives { kind, domain } => self.caller_arrives(kind, domain),
+            Event::AtEntry(caller) => self.request_arrives(caller),
+            Event::AtExit(attempt) => self.attempt_arrives(attempt),
+            Event::AttemptCancelled(attempt) => self.attempt_cancelled(attempt),
+            Event::WorkDone(attempt) => self.work_done(attempt),
+            Event::ResultAtEntry(attempt, result) => self.attempt_ended(attempt, result),
+            Event::HedgeDue(attempt) => self.hedge(attempt),
+            Event::Deadline(request) => self.deadline_passed(request),
+            Event::CallerLeaves(request) => self.caller_leaves(request),
             Event::Tick(host) => self.tick(host),
-            Event::Trouble { index, begins } => self.trouble(index, begins),
-            Event::Reports(host) => self.reports(host),
-            Event::News => self.spread_news(),
+            Event::Fault { index, begins } => self.apply_fault(index, begins),
+            Event::UpstreamAnnounced(host) => self.announce(host),
+            Event::MembershipUpdate => self.update_membership(),
         }
     }
 
     fn tick(&mut self, host: HostId) {
         let now = self.instant(self.now);
         let wakes = self.hosts[host.0].gate.tick(now);
-        self.wake(host, wakes);
-        self.after(GATE_TICK, Event::Tick(host));
+        self.apply_wakes(host, wakes);
+        self.schedule(GATE_TICK, Event::Tick(host));
     }
 
-    fn trouble(&mut self, index: usize, begins: bool) {
-        let trouble = self.deployment.trouble[index].clone();
-        let x = trouble.x;
-        match trouble.what {
-            What::Burst => self.burst = if begins { x } else { 1.0 },
-            What::Leave => self.leave = if begins { trouble.share } else { 0.0 },
-            What::Impatient => {
-                self.impatient = if begins { (trouble.share, x) } else { (0.0, 1.0) }
+    fn apply_fault(&mut self, index: usize, begins: bool) {
+        let fault = self.deployment.trouble[index].clone();
+        let x = fault.x;
+        match fault.what {
+            FaultKind::Burst => self.burst_factor = if begins { x } else { 1.0 },
+            FaultKind::Leave => self.leave_share = if begins { fault.share } else { 0.0 },
+            FaultKind::Impatient => {
+                self.impatient = if begins { (fault.share, x) } else { (0.0, 1.0) }
             }
-            What::Down => self.on_each(&trouble, index, |world, host| match begins {
-                true => world.goes_down(host),
-                false => world.starts(host),
+            FaultKind::Down => self.for_each_affected(&fault, index, |world, host| match begins {
+                true => world.stop_upstream(host),
+                false => world.start_upstream(host),
             }),
-            What::Restart => self.on_each(&trouble, index, |world, host| match begins {
-                true => {
-                    world.hosts[host.0].open = false;
-                    world.goes_down(host);
-                }
-                false => {
-                    world.forgets(host);
-                    world.starts(host);
-                }
-            }),
-            What::Refuse => self.on_each(&trouble, index, |world, host| {
-                world.hosts[host.0].refuses = if begins { x } else { 0.0 };
+            FaultKind::Restart => {
+                self.for_each_affected(&fault, index, |world, host| match begins {
+                    true => {
+                        world.hosts[host.0].daemon_up = false;
+                        world.stop_upstream(host);
+                    }
+                    false => {
+                        world.restart_daemon(host);
+                        world.start_upstream(host);
+                    }
+                })
+            }
+            FaultKind::Refuse => self.for_each_affected(&fault, index, |world, host| {
+                world.hosts[host.0].refuse_share = if begins { x } else { 0.0 };
             }),
-            What::Fail => self.on_each(&trouble, index, |world, host| {
-                world.hosts[host.0].fails = if begins { x } else { 0.0 };
+            FaultKind::Fail => self.for_each_affected(&fault, index, |world, host| {
+                world.hosts[host.0].fail_share = if begins { x } else { 0.0 };
             }),
-            What::Lose => self.on_each(&trouble, index, |world, host| {
-                world.hosts[host.0].loses = if begins { x } else { 0.0 };
+            FaultKind::Lose => self.for_each_affected(&fault, index, |world, host| {
+                world.hosts[host.0].lose_share = if begins { x } else { 0.0 };
             }),
-            What::Slow => self.on_each(&trouble, index, |world, host| {
-                world.hosts[host.0].slow = if begins { x } else { 1.0 };
+            FaultKind::Slow => self.for_each_affected(&fault, index, |world, host| {
+                world.hosts[host.0].slowdown = if begins { x } else { 1.0 };
             }),
         }
     }
 
-    /// Does something to the upstreams that a trouble meets, the same at its beginning
-    /// and its end.
-    fn on_each(&mut self, trouble: &Trouble, index: usize, act: impl Fn(&mut World, HostId)) {
-        let service = trouble.service.as_deref().map(|name| self.service_of(name));
-        let mut met: Vec<usize> = (0..self.hosts.len())
+    /// Calls `act` for the hosts that a fault affects: the same ones at its beginning and its
+    /// end.
+    fn for_each_affected(&mut self, fault: &Fault, index: usize, act: impl Fn(&mut World, HostId)) {
+        let service = fault.service.as_deref().map(|name| self.service_index(name));
+        let mut affected: Vec<usize> = (0..self.hosts.len())
             .filter(|host| service.is_none_or(|service| self.hosts[*host].service == service))
             .collect();
-        fastrand::Rng::with_seed(index as u64 + 1).shuffle(&mut met);
-        met.truncate((met.len() as f64 * trouble.share).round() as usize);
-        met.into_iter().for_each(|host| act(self, HostId(host)));
+        fastrand::Rng::with_seed(index as u64 + 1).shuffle(&mut affected);
+        affected.truncate((affected.len() as f64 * fault.share).round() as usize);
+        affected.into_iter().for_each(|host| act(self, HostId(host)));
     }
 
-    fn goes_down(&mut self, host: HostId) {
-        self.hosts[host.0].up = false;
-        self.break_all(host);
+    fn stop_upstream(&mut self, host: HostId) {
+        self.hosts[host.0].upstream_up = false;
+        self.abort_all(host);
         self.hosts[host.0].announced = false;
-        let news = Duration::from_secs_f64(self.deployment.ways.news_ms / 1e3);
-        self.after(news, Event::News);
+        let delay = Duration::from_secs_f64(self.deployment.ways.news_ms / 1e3);
+        self.schedule(delay, Event::MembershipUpdate);
     }
 
-    /// Starts a daemon that knows nothing of before.
-    fn forgets(&mut self, host: HostId) {
+    /// Restarts a daemon, which loses its state as entry daemon.
+    fn restart_daemon(&mut self, host: HostId) {
         let (allowance, services) = (self.allowance(), self.services.len());
         let policy = self.switches.choice;
         let state = &mut self.hosts[host.0];
-        state.open = true;
+        state.daemon_up = true;
         state.pickers = vec![Picker::new(policy, HostKey(host.0 as u64)); services];
         state.budgets = vec![RetryBudget::new(allowance); services];
         state.returning = ReturningCallers::default();
     }
 
-    /// Starts an upstream, which knows nothing of before.
-    fn starts(&mut self, host: HostId) {
+    /// Starts an upstream cold, with a new incarnation and an empty gate.
+    fn start_upstream(&mut self, host: HostId) {
         let cold_s = self.services[self.hosts[host.0].service].1.cold_s;
         let slots = self.services[self.hosts[host.0].service].1.slots;
         let cold_until = self.now + Duration::from_secs_f64(cold_s);
         let state = &mut self.hosts[host.0];
-        state.up = true;
-        state.life += 1;
+        state.upstream_up = true;
+        state.incarnation += 1;
         state.cold_until = cold_until;
         state.gate = Gate::new(u32::from(slots));
-        let wait = REPORT_EVERY.mul_f64(self.rng.f64());
-        self.after(wait, Event::Reports(host));
-        self.after(Duration::from_secs_f64(cold_s) + wait, Event::News);
+        let wait = REPORT_INTERVAL.mul_f64(self.rng.f64());
+        self.schedule(wait, Event::UpstreamAnnounced(host));
+        self.schedule(Duration::from_secs_f64(cold_s) + wait, Event::MembershipUpdate);
     }
 
-    fn reports(&mut self, host: HostId) {
-        self.hosts[host.0].announced = self.hosts[host.0].up;
-        let news = Duration::from_secs_f64(self.deployment.ways.news_ms / 1e3);
-        self.after(news, Event::News);
+    fn announce(&mut self, host: HostId) {
+        self.hosts[host.0].announced = self.hosts[host.0].upstream_up;
+        let delay = Duration::from_secs_f64(self.deployment.ways.news_ms / 1e3);
+        self.schedule(delay, Event::MembershipUpdate);
     }
 
-    /// Tells every daemon which upstreams there are.
-    fn spread_news(&mut self) {
+    /// Updates every daemon's list of upstreams from their announcements.
+    fn update_membership(&mut self) {
         let now = self.instant(self.now);
-        let told: Vec<(usize, usize, UpstreamInfo)> =
+        let announcements: Vec<(usize, usize, UpstreamInfo)> =
             (0..self.hosts.len()).filter_map(|host| self.announcement(host)).collect();
         for me in 0..self.hosts.len() {
             let own = self.hosts[me].domain;
             for service in 0..self.services.len() {
-                let of_service = told.iter().filter(|(_, of, _)| *of == service);
-                let known = of_service.map(|(domain, _, known)| {
-                    let locality = match (known.host.0 as usize == me, *domain == own) {
+                let of_service = announcements.iter().filter(|(_, of, _)| *of == service);
+                let infos = of_service.map(|(domain, _, info)| {
+                    let locality = match (info.host.0 as usize == me, *domain == own) {
                         (true, _) => Locality::SameHost,
                         (_, true) => Locality::SameDomain,
                         _ => Locality::OtherDomain,
                     };
-                    UpstreamInfo { locality, ..known.clone() }
+                    UpstreamInfo { locality, ..info.clone() }
                 });
-                self.hosts[me].pickers[service].sync(known, now);
+                self.hosts[me].pickers[service].sync(infos, now);
             }
         }
     }
@@ -466,14 +486,14 @@
             return None;
         }
         let cold = self.now < state.cold_until;
-        let known = UpstreamInfo {
+        let info = UpstreamInfo {
             host: HostKey(host as u64),
-            instance: format!("{host}@{}", state.life),
+            instance: format!("{host}@{}", state.incarnation),
             locality: Locality::OtherDomain,
             slots: self.services[state.service].1.slots,
             readiness: if cold { Readiness::Cold } else { Readiness::Ready },
             host_suspected: false,
         };
-        Some((state.domain, state.service, known))
+        Some((state.domain, state.service, info))
     }
 }
