--- a/crates/measure/tests/load.rs
+++ b/crates/measure/tests/load.rs
@@ -1,20 +1,20 @@
-//! Each decision about load, replayed with and without it on the deployments of
-//! `testdata/load`. The model has a virtual clock and seeds: the same figures
-//! everywhere.
+//! Simulates the deployments of `testdata/load` with and without each decision about load. The
+//! model has a virtual clock and seeds: the figures are the same on every machine, but for
+//! `restart.toml`, whose figures differ between runs with the same seed.
 
 use serde_json::Value;
 use std::path::Path;
 use std::process::Command;
 
-/// Plays a deployment and returns the summary.
-fn play(file: &str, seeds: u32, without: Option<&str>) -> Value {
+/// Simulates a deployment and returns the summary.
+fn simulate(file: &str, seeds: u32, without: Option<&str>) -> Value {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../testdata/load");
     let mut command = Command::new(env!("CARGO_BIN_EXE_cicadashift-measure"));
     command.arg("load").arg(dir.join(file)).args(["--seeds", &seeds.to_string()]);
     if let Some(decision) = without {
         command.args(["--without", decision]);
     }
-    let out = command.output().expect("the program can be started");
+    let out = command.output().expect("the program starts");
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     serde_json::from_slice(&out.stdout).expect("a summary as JSON")
 }
@@ -23,18 +23,18 @@
     summary["share_mean"].as_f64().expect("a share")
 }
 
-/// Asserts that a decision is worth at least `least` of what callers asked for.
-fn is_worth(decision: &str, file: &str, seeds: u32, least: f64) {
+/// Asserts that a decision raises the share of worth earned by at least `least`.
+fn assert_gain(decision: &str, file: &str, seeds: u32, least: f64) {
     compare(decision, file, seeds, least, (None, decision.to_string()));
 }
 
-/// Asserts the same where another decision is switched off, which would make up for it.
-fn is_worth_beside(decision: &str, other: &str, file: &str, seeds: u32, least: f64) {
+/// Asserts the same with `other` switched off, which would compensate for the decision.
+fn assert_gain_without(decision: &str, other: &str, file: &str, seeds: u32, least: f64) {
     compare(decision, file, seeds, least, (Some(other), format!("{other},{decision}")));
 }
 
 fn compare(decision: &str, file: &str, seeds: u32, least: f64, off: (Option<&str>, String)) {
-    let (with, without) = (play(file, seeds, off.0), play(file, seeds, Some(&off.1)));
+    let (with, without) = (simulate(file, seeds, off.0), simulate(file, seeds, Some(&off.1)));
     let gain = share(&with) - share(&without);
     assert!(
         gain >= least,
@@ -45,82 +45,87 @@
 }
 
 #[test]
-fn asking_for_a_free_slot_first_saves_calls_from_waiting_beside_one() {
-    // One call in twenty takes half a second, the others 20 ms. Whoever is sent to an
-    // upstream that is full of long ones waits although the next one has room; the
-    // caller sees an answer after its objective.
-    is_worth_beside("ask_free", "second", "heavy_tail.toml", 8, 0.003);
-    is_worth("ask_free", "hundreds.toml", 2, 0.006);
+fn asking_for_a_free_slot_first_saves_calls_from_queueing_at_full_upstreams() {
+    // One call in twenty takes half a second, the others 20 ms. A call sent to an upstream
+    // whose slots are taken by long calls waits although another upstream has a free slot,
+    // and is answered after its objective.
+    assert_gain_without("ask_free", "second", "heavy_tail.toml", 8, 0.003);
+    assert_gain("ask_free", "hundreds.toml", 2, 0.006);
 }
 
 #[test]
-fn a_question_costs_daemons_without_processor_time_more_than_it_saves() {
-    // Guards against a model in which daemons' work is free: most have a tenth of a
-    // processor here, and questions for a free slot make calls late.
-    let (with, without) =
-        (play("narrow_hosts.toml", 4, None), play("narrow_hosts.toml", 4, Some("ask_free")));
+fn asking_for_a_free_slot_costs_more_than_it_saves_where_daemons_lack_processor_time() {
+    // Guards against a model in which the work of daemons takes no time. Most daemons have a
+    // tenth of a processor here, and asking for a free slot makes calls late.
+    let (with, without) = (
+        simulate("narrow_hosts.toml", 4, None),
+        simulate("narrow_hosts.toml", 4, Some("ask_free")),
+    );
     assert!(share(&without) >= share(&with) + 0.03, "{} {}", share(&with), share(&without));
 }
 
 #[test]
-fn second_attempts_make_up_for_a_heavy_tail() {
-    // One call in twenty takes longer than its objective. Without a second attempt beside
-    // it its answer is late.
-    is_worth("second", "heavy_tail.toml", 8, 0.015);
+fn hedged_attempts_compensate_for_a_heavy_tail() {
+    // One call in twenty takes longer than its objective, and its answer is late without a
+    // hedged attempt.
+    assert_gain("second", "heavy_tail.toml", 8, 0.015);
 }
 
 #[test]
-fn second_attempts_take_no_slots_that_others_wait_for() {
-    // All slots are full for twenty seconds, and each looks free for a moment when it
-    // changes hands. Second attempts sent there are in the place of first ones.
-    is_worth("second", "shifted.toml", 2, -0.002);
+fn hedged_attempts_take_no_slots_that_other_calls_wait_for() {
+    // All slots are taken for twenty seconds, and each looks free for a moment between two
+    // calls. Hedged attempts sent at that moment take the place of first attempts.
+    assert_gain("second", "shifted.toml", 2, -0.002);
 }
 
 #[test]
-fn what_an_upstream_refuses_at_random_goes_to_those_that_do_not() {
-    // Seven in ten upstreams refuse 55 in 100 with their slots free. A daemon sees each
-    // of them once in seconds, its host sees all; without its word nested calls are
-    // refused, and the runs that made them are lost.
-    is_worth("refusals", "hundreds.toml", 2, 0.005);
+fn calls_avoid_upstreams_that_refuse_at_random() {
+    // Seven in ten upstreams refuse 55 in 100 calls although they have free slots. An entry
+    // daemon sends to each of them only once in seconds, while the daemon on the upstream's
+    // host sees all its refusals. Without the accept ratio in its load reports nested calls
+    // are refused, and the runs that made them are wasted.
+    assert_gain("refusals", "hundreds.toml", 2, 0.005);
 }
 
 #[test]
-fn callers_that_come_back_are_known() {
-    // More calls than slots for seconds: those refused come back, and count as fresh
-    // although their objective is nearly over. Their late answers take the place of
-    // answers in time.
-    is_worth("returning", "three_services.toml", 8, 0.02);
-    is_worth("returning", "short_callee.toml", 4, 0.05);
+fn returning_callers_are_recognized() {
+    // There are more calls than slots for seconds, and refused calls are retried. If a retry
+    // counted as a new call although its objective is nearly over, its late answer would take
+    // the place of an answer in time.
+    assert_gain("returning", "three_services.toml", 8, 0.02);
+    assert_gain("returning", "short_callee.toml", 4, 0.05);
 }
 
 #[test]
-fn upstreams_that_have_just_started_take_all_that_they_can_run() {
-    // Everything starts again at once, cold. With a quarter of the slots at first the
-    // same run earns 0.847 of what callers asked.
-    let earned = share(&play("restart.toml", 10, None));
+fn started_upstreams_receive_as_many_calls_as_they_have_slots() {
+    // All hosts restart cold at the same time. If started upstreams get calls for only a
+    // quarter of their slots at first, the same run earns a share of 0.847.
+    let earned = share(&simulate("restart.toml", 10, None));
     assert!(earned >= 0.858, "{earned}");
 }
 
 #[test]
 fn a_seed_gives_the_same_figures_each_time() {
-    let (one, two) = (play("deep.toml", 2, None), play("deep.toml", 2, None));
+    let (one, two) = (simulate("deep.toml", 2, None), simulate("deep.toml", 2, None));
     assert_eq!(one, two);
 }
 
 #[test]
-fn what_cannot_be_played_is_refused_with_its_reason() {
+fn a_missing_deployment_file_is_reported() {
     let program = env!("CARGO_BIN_EXE_cicadashift-measure");
-    let out = Command::new(program).args(["load", "nowhere.toml"]).output().expect("it starts");
+    let out =
+        Command::new(program).args(["load", "nowhere.toml"]).output().expect("the program starts");
     assert_eq!(out.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&out.stderr).contains("cannot be read"));
 }
 
 #[test]
-fn callers_that_come_back_keep_their_place_when_all_slots_are_full_for_seconds() {
-    // A fifth more callers than usual and three in ten upstreams emptied: lookups are
-    // refused for twenty seconds, wait as they are told, and come back. Counted as fresh,
-    // they would be served after those who could still be in time; asked of full hosts
-    // first, calls would wait beside a free slot.
-    is_worth("returning", "shifted.toml", 2, 0.015);
-    is_worth("ask_free", "shifted.toml", 2, 0.005);
+fn returning_callers_keep_their_first_arrival_when_all_slots_are_taken_for_seconds() {
+    // A fifth more callers than usual and three in ten upstreams drained: lookups are
+    // refused for twenty seconds and retried after the wait that the refusal names. Retries
+    // that count as new calls are served although they are late, in place of calls that could
+    // still be answered in time; calls that do not ask for a free slot first wait at full
+    // hosts while others have one.
+    assert_gain("returning", "shifted.toml", 2, 0.015);
+    assert_gain("ask_free", "shifted.toml", 2, 0.005);
 }
