--- a/crates/measure/src/load/entry.rs
+++ b/crates/measure/src/load/entry.rs
@@ -14,7 +14,7 @@
 const CALLER_MARGIN: Duration = Duration::from_millis(25);
 
 /// Hosts asked for a free slot before a call is queued at one, as in
-/// `src/daemon/request/attempts/so_far.rs`.
+/// `src/daemon/request/attempts/history.rs`.
 const ASKED_FREE: u32 = 2;
 
 /// Result of an attempt, as the entry daemon receives it.
